--- a/src/main/java/waytrestle/scheduler/AttemptState.java
+++ b/src/main/java/waytrestle/scheduler/AttemptState.java
@@ -13,7 +13,7 @@
     final Guess guess;
 
     /** Requests at work at the invoker when this one was sent. */
-    final double concurrentRequests;
+    final double concurrentRequestsAtSend;
 
     boolean completed;
 
@@ -28,17 +28,17 @@
         this.instance = instance;
         this.cold = cold;
         this.guess = guess;
-        this.concurrentRequests = concurrentRequests;
+        this.concurrentRequestsAtSend = concurrentRequests;
         this.sentAt = nowMicros;
     }
 
     /** Counts the attempt as in flight. */
     void start() {
-        instance.usedAt = sentAt;
+        instance.lastUsedAt = sentAt;
         instance.inFlight++;
         invoker.inFlight++;
         if (!cold && invoker.warmInFlight++ == 0) {
-            invoker.lastHeardAt = sentAt;
+            invoker.silentSince = sentAt;
         }
     }
 
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -43,10 +43,10 @@
             invoker.clearHealth();
         }
         if (restarted || added) {
-            invoker.warmingSince = Math.max(invoker.warmingSince, endpoint.startedAtMicros());
+            invoker.slowStartSince = Math.max(invoker.slowStartSince, endpoint.startedAtMicros());
         }
         invoker.endpoint = endpoint;
-        leases.listed(invoker);
+        leases.recordListed(invoker);
         invoker.ready = endpoint.state() == EndpointState.READY;
     }
 
@@ -55,11 +55,11 @@
         for (InvokerState invoker : state.invokers.values()) {
             ready.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
         }
-        state.readyByKind.forEach(
+        state.readyInvokersByKind.forEach(
                 (kind, average) -> average.set(ready.getOrDefault(kind, 0), state.now));
         ready.forEach(
                 (kind, count) ->
-                        state.readyByKind
+                        state.readyInvokersByKind
                                 .computeIfAbsent(
                                         kind,
                                         added ->
--- a/src/main/java/waytrestle/scheduler/FinishTimeEstimate.java
+++ b/src/main/java/waytrestle/scheduler/FinishTimeEstimate.java
@@ -28,14 +28,14 @@
     double waitAndRunMicros(FunctionState function, InvokerState invoker) {
         FunctionInstance instance = state.instanceAt(invoker, function);
         double run = runMicrosAt(function, invoker);
-        double queued = current(invoker, invoker.queuedRequests, state.averageQueuedRequests);
+        double queued = fadeToAverage(invoker, invoker.queuedRequests, state.averageQueuedRequests);
         double queue = queued * runMicros(function) / UNHINDERED_REQUESTS;
         if (instance != null) {
             double capacity = instance.count * (double) function.concurrencyPerInstance;
             double waiting = instance.inFlight + instance.otherRequests + 1 - capacity;
             queue += Math.max(0, waiting) * run / capacity;
         }
-        double unheard = state.now - invoker.lastHeardAt - 2 * run;
+        double unheard = state.now - invoker.silentSince - 2 * run;
         double silence = invoker.warmInFlight > 0 ? Math.max(0, unheard) : 0;
         return queue + run + silence + Math.max(0, invoker.fullUntil - state.now);
     }
@@ -46,7 +46,7 @@
         double full = loadMicros(function, ranking);
         if (instance == null) {
             double probability = ranking ? coldProbability : coldProbability > 0.5 ? 1 : 0;
-            return probability * full * (1 + LOAD_DELAY_SHARE * invoker.loading);
+            return probability * full * (1 + LOAD_DELAY_SHARE * invoker.loadingFunctions);
         }
         if (!instance.isLoading()) {
             return 0;
@@ -57,18 +57,18 @@
 
     /** Usual run time, corrected by how slow the invoker is and by its concurrent requests. */
     double runMicrosAt(FunctionState function, InvokerState invoker) {
-        boolean measured = invoker.averageUsual != 0;
-        double usual = measured ? invoker.usualConcurrency : state.averageOtherRequests;
+        boolean measured = invoker.averageUsualMicros != 0;
+        double usual = measured ? invoker.averageConcurrentRequests : state.averageOtherRequests;
         double hindered = concurrentRequests(invoker) + UNHINDERED_REQUESTS;
         return runMicros(function) * invoker.slowness * hindered / (usual + UNHINDERED_REQUESTS);
     }
 
     /** The estimate with what a choice costs beyond time, in units of the objective. */
-    double cost(RequestState request, InvokerState invoker) {
+    double costMicros(RequestState request, InvokerState invoker) {
         double objective = request.requestClass.objectiveMicros();
         boolean crosses = invoker.endpoint.zone() != state.settings.zone();
         double crossing = crosses ? state.settings.costs().crossZone() * objective : 0;
-        DecayingSum failures = invoker.failureShare.get(request.scope);
+        DecayingSum failures = invoker.failureShare.get(request.failureScope);
         double retry = failures == null ? 0 : failures.value(state.now) * FAILURE_COST * objective;
         return finishMicros(request.function, invoker, true) + crossing + retry;
     }
@@ -76,11 +76,11 @@
     /** Requests at work there; those that wait for a load use no core. */
     double concurrentRequests(InvokerState invoker) {
         return invoker.warmInFlight
-                + current(invoker, invoker.otherRequests, state.averageOtherRequests);
+                + fadeToAverage(invoker, invoker.otherRequests, state.averageOtherRequests);
     }
 
     /** What was last reported, fading to the average of all: an unheard invoker is average. */
-    double current(InvokerState invoker, double reported, double average) {
+    double fadeToAverage(InvokerState invoker, double reported, double average) {
         double age = invoker.loadReportedAt - state.now;
         double weight = invoker.loadReportedAt == 0 ? 0 : Math.exp(age / RATE_DECAY_MICROS);
         return average + (reported - average) * weight;
--- a/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
+++ b/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
@@ -69,7 +69,7 @@
         } else if (event instanceof AttemptCompleted completed) {
             attemptCompleted(completed);
         } else if (event instanceof PreloadCompleted completed) {
-            preloads.completed(completed);
+            preloads.preloadCompleted(completed);
         } else if (event instanceof HealthCheckCompleted completed) {
             healthCheckCompleted(completed);
         } else if (event instanceof ListFreshnessChanged changed) {
@@ -83,7 +83,7 @@
         } else if (event instanceof StreamStarted stream) {
             streamStarted(stream);
         } else if (event instanceof RequestAbandoned abandoned) {
-            state.forget(state.requests.get(abandoned.id()));
+            state.endRequest(state.requests.get(abandoned.id()));
         }
     }
 
@@ -119,7 +119,7 @@
         if (request.completed && request.inFlight == 0) {
             state.requests.remove(request.id);
         } else if (event.isFinal()) {
-            state.forget(request);
+            state.endRequest(request);
         } else if (!request.completed) {
             router.retry(request, attempt, event.code());
         }
@@ -134,10 +134,10 @@
             return;
         }
         leases.checkCompleted(invoker, event);
-        invoker.readiness
+        invoker.readinessLease
                 .takeDeferredPreloads()
                 .forEach((function, instances) -> preloadIfReady(invoker, function, instances));
-        for (long id : invoker.readiness.takeWaitingRequests()) {
+        for (long id : invoker.readinessLease.takeWaitingRequests()) {
             routeQueued(state.requests.get(id));
         }
     }
--- a/src/main/java/waytrestle/scheduler/FunctionInstance.java
+++ b/src/main/java/waytrestle/scheduler/FunctionInstance.java
@@ -14,7 +14,7 @@
     /** Other controllers' requests for the function there, averaged. */
     double otherRequests;
 
-    long usedAt;
+    long lastUsedAt;
 
     /** When its load began; 0 once it is loaded. */
     long loadingSince;
@@ -28,7 +28,7 @@
     FunctionInstance(FunctionState function, long nowMicros) {
         this.function = function;
         this.loadingSince = nowMicros;
-        this.usedAt = nowMicros;
+        this.lastUsedAt = nowMicros;
     }
 
     boolean isLoading() {
--- a/src/main/java/waytrestle/scheduler/FunctionState.java
+++ b/src/main/java/waytrestle/scheduler/FunctionState.java
@@ -20,8 +20,8 @@
     /** Usual time of a warm response, in microseconds; 0 before the first one. */
     double runMicros;
 
-    int runsMeasured;
-    int requests;
+    int measuredRuns;
+    int requestCount;
     long lastRequestAt;
 
     /** Where its instance is kept alive, during one round of maintenance. */
@@ -36,7 +36,7 @@
 
     /** Takes over what a new request of the function tells. */
     void recordRequest(SchedulerEvent.RequestReceived request, long nowMicros) {
-        requests++;
+        requestCount++;
         lastRequestAt = nowMicros;
         recentRequests.add(1, nowMicros);
         requestClass = request.requestClass();
--- a/src/main/java/waytrestle/scheduler/InvokerBackoff.java
+++ b/src/main/java/waytrestle/scheduler/InvokerBackoff.java
@@ -31,11 +31,11 @@
     void pause(InvokerState invoker, boolean processEnded) {
         invoker.consecutiveFailures++;
         if (processEnded) {
-            if (!invoker.processLost) {
+            if (!invoker.processEnded) {
                 invoker.clearInstances();
             }
-            invoker.processLost = true;
-            invoker.warmingSince = state.now;
+            invoker.processEnded = true;
+            invoker.slowStartSince = state.now;
         }
         int doublings = Math.min(MAX_DOUBLINGS, invoker.consecutiveFailures - 1);
         long backoff = Math.min(MAX_BACKOFF_MICROS, BACKOFF_MICROS << doublings);
@@ -48,7 +48,7 @@
      * break at once has the process ended: an invoker taken for fresh gets next to nothing until it
      * has warmed up.
      */
-    void connectionReset(InvokerState invoker) {
+    void recordReset(InvokerState invoker) {
         long sinceLast = state.now - invoker.lastResetAt;
         boolean simultaneous = sinceLast <= SIMULTANEOUS_MICROS && invoker.inFlight == 0;
         invoker.lastResetAt = state.now;
@@ -64,7 +64,7 @@
      * invoker's queue term, so that waiting is weighed against a load elsewhere: loads begun at
      * every full response congest the function store.
      */
-    void atCapacity(InvokerState invoker, boolean cold) {
+    void recordFullResponse(InvokerState invoker, boolean cold) {
         int doublings = Math.min(MAX_DOUBLINGS, invoker.consecutiveFullResponses++);
         long backoff = Math.min(MAX_FULL_BACKOFF_MICROS, FULL_BACKOFF_MICROS << doublings);
         long until = state.now + backoff;
@@ -84,12 +84,12 @@
      */
     void checkSilence(InvokerState invoker) {
         double runs = SILENCE_RUNS * state.averageRunMicros * Math.max(1, invoker.slowness);
-        boolean quiet = state.now - invoker.lastHeardAt > Math.max(MIN_SILENCE_MICROS, runs);
+        boolean quiet = state.now - invoker.silentSince > Math.max(MIN_SILENCE_MICROS, runs);
         boolean failing = invoker.warmInFlight > 0 && invoker.consecutiveFailures > 0;
         boolean several = invoker.warmInFlight >= SILENCE_ATTEMPTS || failing;
         boolean conclusive = state.settings.preloading().reportsNotLoaded();
         if (several && quiet && conclusive && state.settings.limits().mayCancel()) {
-            invoker.lastHeardAt = state.now;
+            invoker.silentSince = state.now;
             pause(invoker, false);
             state.requests.values().forEach(request -> cancelSilentAttempts(request, invoker));
         }
--- a/src/main/java/waytrestle/scheduler/InvokerSelector.java
+++ b/src/main/java/waytrestle/scheduler/InvokerSelector.java
@@ -33,18 +33,18 @@
      * by rank and not at random: against instances strewn over the fleet by controllers that cannot
      * agree, which evict each other.
      */
-    InvokerState lowestCost(RequestState request) {
+    InvokerState lowestCostInvoker(RequestState request) {
         double warmTie = WARM_TIE * request.requestClass.objectiveMicros();
         InvokerState warm = bestRanked(request, true, warmTie);
         InvokerState cold = bestCold(request);
         if (warm == null || cold == null) {
             return warm == null ? cold : warm;
         }
-        return estimate.cost(request, cold) < estimate.cost(request, warm) ? cold : warm;
+        return estimate.costMicros(request, cold) < estimate.costMicros(request, warm) ? cold : warm;
     }
 
     /** Where one more instance would help, if only some invokers are congested; else null. */
-    InvokerState uncongestedCold(RequestState request) {
+    InvokerState uncongestedColdInvoker(RequestState request) {
         InvokerState cold = bestCold(request);
         long objective = request.requestClass.objectiveMicros();
         boolean helps = cold != null && estimate.runMicrosAt(request.function, cold) < objective;
@@ -60,8 +60,8 @@
         double lowest = Double.MAX_VALUE;
         for (InvokerState invoker : state.invokers.values()) {
             boolean eligible = isCandidate(request, invoker) && warm == isWarm(invoker, function);
-            double cost = eligible ? estimate.cost(request, invoker) : Double.POSITIVE_INFINITY;
-            invoker.candidateCost = cost;
+            double cost = eligible ? estimate.costMicros(request, invoker) : Double.POSITIVE_INFINITY;
+            invoker.candidateCostMicros = cost;
             lowest = Math.min(lowest, cost);
         }
         int place = warm ? 0 : coldPlace(request);
@@ -82,7 +82,7 @@
         InvokerState next = null;
         for (InvokerState invoker : state.invokers.values()) {
             boolean below = above == null || RendezvousHash.prefers(function, above, invoker);
-            boolean eligible = invoker.candidateCost <= maxCost && below;
+            boolean eligible = invoker.candidateCostMicros <= maxCost && below;
             if (eligible && (next == null || RendezvousHash.prefers(function, invoker, next))) {
                 next = invoker;
             }
--- a/src/main/java/waytrestle/scheduler/InvokerState.java
+++ b/src/main/java/waytrestle/scheduler/InvokerState.java
@@ -17,7 +17,7 @@
     boolean ready;
 
     /** What is known of that while the list may be outdated. */
-    final ReadinessLease readiness = new ReadinessLease();
+    final ReadinessLease readinessLease = new ReadinessLease();
 
     // Own work there.
     int inFlight;
@@ -28,10 +28,10 @@
     int preloadsInFlight;
 
     /** Functions believed to be loading there. */
-    int loading;
+    int loadingFunctions;
 
     /** When something was last heard, or sent after idleness. */
-    long lastHeardAt;
+    long silentSince;
 
     final Map<String, FunctionInstance> instances = new LinkedHashMap<>();
 
@@ -39,11 +39,11 @@
     /** Response times over the usual times of their functions. */
     double slowness = 1;
 
-    double averageElapsed;
-    double averageUsual;
+    double averageElapsedMicros;
+    double averageUsualMicros;
 
     /** Requests at work there when the responses behind that slowness were sent. */
-    double usualConcurrency;
+    double averageConcurrentRequests;
 
     // Load, as reported.
     double queuedRequests;
@@ -63,24 +63,24 @@
     long pausedUntil;
 
     /** Whether its process was taken for ended at the last failures. */
-    boolean processLost;
+    boolean processEnded;
 
     // Slow start.
     /** Start of its present process; 0 when long past. */
-    long warmingSince;
+    long slowStartSince;
 
     /** The window that the draw below is for. */
-    long budgetWindow;
+    long budgetRoundingWindow;
 
-    double budgetDraw;
+    double budgetRounding;
 
     /** Sum of the sizes below. */
-    double slowStartWork;
+    double slowStartSizeSum;
 
     final ArrayDeque<SlowStartSend> slowStartSends = new ArrayDeque<>();
 
     /** Cost in the choice at hand; infinite when it is no candidate. */
-    double candidateCost;
+    double candidateCostMicros;
 
     InvokerState(String id) {
         this.id = id;
@@ -90,7 +90,7 @@
     /** Forgets all instances: the process that held them has ended. */
     void clearInstances() {
         instances.clear();
-        loading = 0;
+        loadingFunctions = 0;
         preloadsInFlight = 0;
     }
 
@@ -99,36 +99,36 @@
         consecutiveFailures = 0;
         pausedUntil = 0;
         slowness = 1;
-        averageElapsed = 0;
-        averageUsual = 0;
+        averageElapsedMicros = 0;
+        averageUsualMicros = 0;
     }
 
     /** The invoker answered, whatever it said. */
     void recordResponse(long nowMicros) {
-        lastHeardAt = nowMicros;
+        silentSince = nowMicros;
         consecutiveFailures = 0;
         consecutiveResets = 0;
-        processLost = false;
+        processEnded = false;
     }
 
     /** An instance there answered: it is loaded and there is capacity. */
     void recordUse(FunctionInstance instance, long nowMicros) {
         markLoaded(instance);
-        instance.usedAt = nowMicros;
+        instance.lastUsedAt = nowMicros;
         consecutiveFullResponses = 0;
     }
 
     /** Counts no longer what was sent before a time. */
     void dropSlowStartSends(long before) {
         while (!slowStartSends.isEmpty() && slowStartSends.peek().sentAt() < before) {
-            slowStartWork -= slowStartSends.poll().size();
+            slowStartSizeSum -= slowStartSends.poll().relativeSize();
         }
     }
 
     /** Remembers an instance that begins to load. */
     FunctionInstance addLoadingInstance(FunctionState function, long nowMicros) {
         FunctionInstance instance = new FunctionInstance(function, nowMicros);
-        loading++;
+        loadingFunctions++;
         instances.put(function.id, instance);
         return instance;
     }
@@ -157,14 +157,14 @@
         }
         markLoaded(instance);
         instance.count = count;
-        instance.usedAt = Math.max(instance.usedAt, usedAt);
+        instance.lastUsedAt = Math.max(instance.lastUsedAt, usedAt);
     }
 
     /** Marks an instance as loaded. */
     void markLoaded(FunctionInstance instance) {
         if (instance.isLoading()) {
             instance.loadingSince = 0;
-            loading = Math.max(0, loading - 1);
+            loadingFunctions = Math.max(0, loadingFunctions - 1);
         }
     }
 
@@ -177,5 +177,5 @@
     }
 
     /** An attempt sent while the invoker was warming up. */
-    record SlowStartSend(long sentAt, double size) {}
+    record SlowStartSend(long sentAt, double relativeSize) {}
 }
--- a/src/main/java/waytrestle/scheduler/PreloadPlanner.java
+++ b/src/main/java/waytrestle/scheduler/PreloadPlanner.java
@@ -52,14 +52,14 @@
             state.preloadTimes.clear();
             return true;
         }
-        state.trim(state.preloadTimes, period);
-        state.trim(state.requestTimes, period);
+        state.dropOlderThan(state.preloadTimes, period);
+        state.dropOlderThan(state.requestTimes, period);
         double earned = preloading.preloadsPerRequest() * state.requestTimes.size();
         return state.preloadTimes.size() + 1 <= preloading.freePreloads() + earned;
     }
 
     /** A preload request ended. */
-    void completed(PreloadCompleted event) {
+    void preloadCompleted(PreloadCompleted event) {
         FunctionState function = state.functions.get(event.function());
         InvokerState invoker = state.invokers.get(event.invoker());
         if (function == null || invoker == null) {
@@ -68,7 +68,7 @@
         if (event.code() == ResponseCode.CONNECT_FAILED) {
             backoff.pause(invoker, true);
         } else if (event.code() == ResponseCode.RESET) {
-            backoff.connectionReset(invoker);
+            backoff.recordReset(invoker);
         }
         FunctionInstance instance = invoker.instances.get(function.id);
         boolean loaded = event.instances() > 0;
--- a/src/main/java/waytrestle/scheduler/ReadinessLease.java
+++ b/src/main/java/waytrestle/scheduler/ReadinessLease.java
@@ -26,7 +26,7 @@
     long nextCheckAt;
 
     /** When the invoker was last known to be the process that the endpoint list names. */
-    long sameProcessAt;
+    long processConfirmedAt;
 
     /** Requests that are routed anew when the health check in flight ends. */
     private List<Long> waitingRequests = new ArrayList<>();
@@ -39,12 +39,12 @@
     }
 
     /** Adds a request that waits. */
-    void await(RequestState request) {
+    void addWaitingRequest(RequestState request) {
         waitingRequests.add(request.id);
     }
 
     /** Adds a preload, unless so many are deferred already. */
-    void defer(FunctionState function, int instances, int max) {
+    void deferPreload(FunctionState function, int instances, int max) {
         if (deferredPreloads.size() < max) {
             deferredPreloads.put(function, instances);
         }
--- a/src/main/java/waytrestle/scheduler/ReadinessLeases.java
+++ b/src/main/java/waytrestle/scheduler/ReadinessLeases.java
@@ -52,7 +52,7 @@
 
     /** Whether new work may begin at the invoker at that time, by the list or by its lease. */
     boolean mayStartWork(InvokerState invoker, long nowMicros) {
-        return isListValid(nowMicros) || nowMicros <= invoker.readiness.expiresAt;
+        return isListValid(nowMicros) || nowMicros <= invoker.readinessLease.expiresAt;
     }
 
     /** The same at the time of the event at hand. */
@@ -65,7 +65,7 @@
         if (mayStartWork(invoker)) {
             return true;
         }
-        ReadinessLease lease = invoker.readiness;
+        ReadinessLease lease = invoker.readinessLease;
         boolean slow = lease.isCheckInFlight() && state.now - lease.checkSentAt > SLOW_CHECK_MICROS;
         return mayCheck() && state.now >= lease.nextCheckAt && !slow;
     }
@@ -82,29 +82,29 @@
     }
 
     /** Routes the request anew once the invoker's health has been checked. */
-    void await(InvokerState invoker, RequestState request) {
-        invoker.readiness.await(request);
+    void routeAfterCheck(InvokerState invoker, RequestState request) {
+        invoker.readinessLease.addWaitingRequest(request);
         check(invoker);
     }
 
     /** Preloads the function once the invoker has passed a health check. */
     void deferPreload(InvokerState invoker, FunctionState function, int instances) {
         if (isCandidate(invoker)) {
-            invoker.readiness.defer(function, instances, MAX_DEFERRED_PRELOADS);
+            invoker.readinessLease.deferPreload(function, instances, MAX_DEFERRED_PRELOADS);
             check(invoker);
         }
     }
 
     /** Renews the lease of an invoker in use before it expires. */
     void renewAhead(InvokerState invoker) {
-        long renewedAt = invoker.readiness.expiresAt - (long) (RENEWAL_SHARE * leaseMicros());
+        long renewedAt = invoker.readinessLease.expiresAt - (long) (RENEWAL_SHARE * leaseMicros());
         if (!isListValid() && state.now > renewedAt && mayCheck()) {
             check(invoker);
         }
     }
 
     private void check(InvokerState invoker) {
-        ReadinessLease lease = invoker.readiness;
+        ReadinessLease lease = invoker.readinessLease;
         if (!lease.isCheckInFlight() && state.now >= lease.nextCheckAt) {
             lease.checkSentAt = state.now;
             state.commands.add(new CheckHealth(invoker.id));
@@ -113,7 +113,7 @@
 
     /** A health check has ended: a lease counts from when the check was sent. */
     void checkCompleted(InvokerState invoker, HealthCheckCompleted event) {
-        ReadinessLease lease = invoker.readiness;
+        ReadinessLease lease = invoker.readinessLease;
         if (!lease.isCheckInFlight()) {
             return; // of an earlier process under the same id
         }
@@ -134,8 +134,8 @@
     }
 
     /** The endpoint list says which process the invoker is. */
-    void listed(InvokerState invoker) {
-        invoker.readiness.sameProcessAt = state.now;
+    void recordListed(InvokerState invoker) {
+        invoker.readinessLease.processConfirmedAt = state.now;
     }
 
     /**
@@ -144,15 +144,15 @@
      * restart has passed, it counts as just started.
      */
     private void noteProcess(InvokerState invoker, long connectedSinceMicros) {
-        ReadinessLease lease = invoker.readiness;
+        ReadinessLease lease = invoker.readinessLease;
         long listedAt = Math.min(listReceivedAt, state.now);
-        long knownAt = Math.max(lease.sameProcessAt, listedAt);
+        long knownAt = Math.max(lease.processConfirmedAt, listedAt);
         boolean timeEnough = state.now - knownAt > SHORTEST_RESTART_MICROS;
         if ((timeEnough || lease.mayHaveEnded) && connectedSinceMicros > knownAt) {
             invoker.clearInstances();
             invoker.clearHealth();
-            invoker.warmingSince = state.now;
+            invoker.slowStartSince = state.now;
         }
-        lease.sameProcessAt = state.now;
+        lease.processConfirmedAt = state.now;
     }
 }
--- a/src/main/java/waytrestle/scheduler/RequestRouter.java
+++ b/src/main/java/waytrestle/scheduler/RequestRouter.java
@@ -60,9 +60,9 @@
         }
         boolean awaitsLoad = request.notLoadedResponses >= MAX_NOT_LOADED;
         boolean first = request.attempts.isEmpty();
-        double guess = first ? state.firstGuessCold : state.retryGuessCold;
+        double guess = first ? state.firstAttemptColdProbability : state.retryColdProbability;
         estimate.coldProbability = awaitsLoad ? 1 : guess;
-        InvokerState best = selector.lowestCost(request);
+        InvokerState best = selector.lowestCostInvoker(request);
         if (best == null && leases.isBlocked()) {
             finish(request, OUTAGE_RETRY_AFTER_MICROS);
         } else if (best == null) {
@@ -75,7 +75,7 @@
             queue(request, Math.min(RECHECK_MICROS, best.fullUntil - state.now));
         } else if (!leases.mayStartWork(best)) {
             queue(request, RECHECK_MICROS);
-            leases.await(best, request);
+            leases.routeAfterCheck(best, request);
         } else if (awaitsLoad && mustWaitForLoad(request, best)) {
             request.waitedForLoad = true;
             preloads.preload(best, request.function, 1);
@@ -136,7 +136,7 @@
     /** Preloads where the next requests would go; elsewhere if only some are congested. */
     private void preloadForNextRequests(RequestState request, InvokerState best) {
         boolean cold = state.instanceAt(best, request.function) == null;
-        InvokerState target = cold ? best : selector.uncongestedCold(request);
+        InvokerState target = cold ? best : selector.uncongestedColdInvoker(request);
         if (target != null) {
             preloads.preload(target, request.function, 1);
         }
@@ -168,7 +168,7 @@
         Limits limits = state.settings.limits();
         long allowed = limits.sendsRetryAfter() ? limits.maxRetryAfterMicros() : 0;
         state.commands.add(new RejectRequest(request.id, Math.min(allowed, retryAfterMicros)));
-        state.forget(request);
+        state.endRequest(request);
     }
 
     /** Ends a request that cannot be served: rejected where a retry is harmless, else failed. */
@@ -182,7 +182,7 @@
             reject(request, retryAfterMicros);
         } else {
             state.commands.add(new FailRequest(request.id));
-            state.forget(request);
+            state.endRequest(request);
         }
     }
 
--- a/src/main/java/waytrestle/scheduler/RequestState.java
+++ b/src/main/java/waytrestle/scheduler/RequestState.java
@@ -12,7 +12,7 @@
     final RequestClass requestClass;
 
     /** One number for class and tenant: some invokers fail only one of these. */
-    final int scope;
+    final int failureScope;
 
     final FunctionState function;
     final List<AttemptState> attempts = new ArrayList<>();
@@ -53,7 +53,7 @@
             long timeLeftMicros) {
         this.id = id;
         this.requestClass = requestClass;
-        this.scope = scope;
+        this.failureScope = scope;
         this.function = function;
         this.receivedAt = nowMicros;
         this.deadline = nowMicros + timeLeftMicros;
--- a/src/main/java/waytrestle/scheduler/ResponseLearner.java
+++ b/src/main/java/waytrestle/scheduler/ResponseLearner.java
@@ -45,9 +45,9 @@
                     invoker.removeInstance(instance);
                 }
             }
-            case FULL -> backoff.atCapacity(invoker, attempt.cold);
+            case FULL -> backoff.recordFullResponse(invoker, attempt.cold);
             case CONNECT_FAILED -> backoff.pause(invoker, true);
-            case RESET -> backoff.connectionReset(invoker);
+            case RESET -> backoff.recordReset(invoker);
             default -> {} // the others say nothing more
         }
         boolean expected = instance.inFlight > 0 || instance.preloadInFlight;
@@ -66,7 +66,7 @@
             int others = Math.max(0, event.concurrentRequests() - instance.inFlight);
             instance.otherRequests = ewma(instance.otherRequests, others, REPORT_WEIGHT);
         }
-        state.servedOf(invoker, FinishTimeEstimate.RATE_DECAY_MICROS).add(1, state.now);
+        state.servedRequestsOf(invoker, FinishTimeEstimate.RATE_DECAY_MICROS).add(1, state.now);
         double weight = state.averageRunMicros == 0 ? 1 : FLEET_WEIGHT;
         double run = estimate.runMicros(request.function);
         state.averageRunMicros = ewma(state.averageRunMicros, run, weight);
@@ -76,7 +76,7 @@
         boolean reset = code == ResponseCode.RESET;
         state.resetShare = ewma(state.resetShare, reset ? 1 : 0, FLEET_WEIGHT);
         boolean failure = reset || code == ResponseCode.ERROR || code == ResponseCode.FULL;
-        DecayingSum share = state.failureShareOf(attempt.invoker, request.scope);
+        DecayingSum share = state.failureShareOf(attempt.invoker, request.failureScope);
         double change = (failure && !attempt.cold ? 1 : 0) - share.value(state.now);
         share.add(RESPONSE_WEIGHT * change, state.now);
     }
@@ -104,17 +104,17 @@
     private void learnRunTime(FunctionState function, AttemptState attempt, double elapsed) {
         InvokerState invoker = attempt.invoker;
         double usual = estimate.runMicros(function);
-        invoker.averageElapsed = ewma(invoker.averageElapsed, elapsed, RESPONSE_WEIGHT);
-        invoker.averageUsual = ewma(invoker.averageUsual, usual, RESPONSE_WEIGHT);
+        invoker.averageElapsedMicros = ewma(invoker.averageElapsedMicros, elapsed, RESPONSE_WEIGHT);
+        invoker.averageUsualMicros = ewma(invoker.averageUsualMicros, usual, RESPONSE_WEIGHT);
         double prior = SLOWNESS_PRIOR * usual;
-        invoker.slowness = (invoker.averageElapsed + prior) / (invoker.averageUsual + prior);
-        invoker.usualConcurrency =
-                ewma(invoker.usualConcurrency, attempt.concurrentRequests, RESPONSE_WEIGHT);
-        boolean slow = elapsed > function.runMicros && function.runsMeasured > 0;
-        double weight = Math.max(RESPONSE_WEIGHT, 1.0 / (function.runsMeasured + 1));
+        invoker.slowness = (invoker.averageElapsedMicros + prior) / (invoker.averageUsualMicros + prior);
+        invoker.averageConcurrentRequests =
+                ewma(invoker.averageConcurrentRequests, attempt.concurrentRequestsAtSend, RESPONSE_WEIGHT);
+        boolean slow = elapsed > function.runMicros && function.measuredRuns > 0;
+        double weight = Math.max(RESPONSE_WEIGHT, 1.0 / (function.measuredRuns + 1));
         double run = ewma(function.runMicros, elapsed, weight * (slow ? SLOW_FACTOR : 1));
-        function.runMicros = function.runsMeasured == 0 ? elapsed : run;
-        function.runsMeasured++;
+        function.runMicros = function.measuredRuns == 0 ? elapsed : run;
+        function.measuredRuns++;
     }
 
     /** Learns from a load that took so long. */
@@ -141,9 +141,9 @@
         }
         double cold = served && warm ? 0 : 1;
         if (attempt.guess == Guess.FIRST_ATTEMPT) {
-            state.firstGuessCold = ewma(state.firstGuessCold, cold, RESPONSE_WEIGHT);
+            state.firstAttemptColdProbability = ewma(state.firstAttemptColdProbability, cold, RESPONSE_WEIGHT);
         } else {
-            state.retryGuessCold = ewma(state.retryGuessCold, cold, RESPONSE_WEIGHT);
+            state.retryColdProbability = ewma(state.retryColdProbability, cold, RESPONSE_WEIGHT);
         }
     }
 
@@ -159,11 +159,11 @@
         double others = told ? Math.max(0, inFlight - waiting - invoker.warmInFlight) : 0;
         double queued = told ? 0 : Math.max(0, waiting - loads);
         double average = state.averageOtherRequests;
-        double known = estimate.current(invoker, invoker.otherRequests, average);
+        double known = estimate.fadeToAverage(invoker, invoker.otherRequests, average);
         invoker.otherRequests = ewma(known, others, REPORT_WEIGHT);
         state.averageOtherRequests = ewma(average, others, RESPONSE_WEIGHT);
         average = state.averageQueuedRequests;
-        known = estimate.current(invoker, invoker.queuedRequests, average);
+        known = estimate.fadeToAverage(invoker, invoker.queuedRequests, average);
         invoker.queuedRequests = ewma(known, queued, REPORT_WEIGHT);
         state.averageQueuedRequests = ewma(average, queued, RESPONSE_WEIGHT);
         invoker.loadReportedAt = state.now;
--- a/src/main/java/waytrestle/scheduler/SchedulerState.java
+++ b/src/main/java/waytrestle/scheduler/SchedulerState.java
@@ -40,9 +40,9 @@
     final DecayingSum recentRequests;
 
     /** Warm responses and ready invokers, by kind of invoker. */
-    final Map<Integer, DecayingSum> servedByKind = new HashMap<>();
+    final Map<Integer, DecayingSum> servedRequestsByKind = new HashMap<>();
 
-    final Map<Integer, DecayingAverage> readyByKind = new HashMap<>();
+    final Map<Integer, DecayingAverage> readyInvokersByKind = new HashMap<>();
 
     /** Averages over the load reports of all invokers. */
     double averageOtherRequests;
@@ -59,10 +59,10 @@
     double resetShare;
 
     /** Probability that an invoker without a known instance has none, at the first attempt. */
-    double firstGuessCold = 0.5;
+    double firstAttemptColdProbability = 0.5;
 
     /** The same at a retry. */
-    double retryGuessCold = 0.5;
+    double retryColdProbability = 0.5;
 
     SchedulerState(SchedulerSettings settings, long seed) {
         this.settings = settings;
@@ -85,12 +85,12 @@
     boolean isExpired(FunctionInstance instance) {
         return instance.inFlight == 0
                 && !instance.isLoading()
-                && now - instance.usedAt > keepAliveMicros();
+                && now - instance.lastUsedAt > keepAliveMicros();
     }
 
     /** Warm responses of invokers of the same kind. */
-    DecayingSum servedOf(InvokerState invoker, double decayMicros) {
-        return servedByKind.computeIfAbsent(
+    DecayingSum servedRequestsOf(InvokerState invoker, double decayMicros) {
+        return servedRequestsByKind.computeIfAbsent(
                 invoker.endpoint.kind(), kind -> new DecayingSum(decayMicros));
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** Ends a request: attempts in flight are cancelled where allowed; their ends find it here. */
-    void forget(RequestState request) {
+    void endRequest(RequestState request) {
         if (request == null || request.completed) {
             return;
         }
@@ -144,7 +144,7 @@
     }
 
     /** Drops times that lie further back than the span. */
-    void trim(ArrayDeque<Long> times, long spanMicros) {
+    void dropOlderThan(ArrayDeque<Long> times, long spanMicros) {
         while (!times.isEmpty() && times.peekFirst() < now - spanMicros) {
             times.removeFirst();
         }
--- a/src/main/java/waytrestle/scheduler/SlowStartBudget.java
+++ b/src/main/java/waytrestle/scheduler/SlowStartBudget.java
@@ -30,8 +30,8 @@
     }
 
     private boolean isWarming(InvokerState invoker) {
-        return invoker.warmingSince > 0
-                && state.now - invoker.warmingSince < rules.slowStartMicros();
+        return invoker.slowStartSince > 0
+                && state.now - invoker.slowStartSince < rules.slowStartMicros();
     }
 
     /** Counts a send to an invoker that is warming up. */
@@ -39,7 +39,7 @@
         if (isWarming(invoker)) {
             double size = relativeSize(function);
             invoker.slowStartSends.add(new InvokerState.SlowStartSend(state.now, size));
-            invoker.slowStartWork += size;
+            invoker.slowStartSizeSum += size;
         }
     }
 
@@ -56,7 +56,7 @@
         double discount = SMALL_BUDGET_DISCOUNT * Math.max(0, 1 - budget);
         double margin = Math.min(MARGIN, 1 - DEVIATIONS / deviation) - discount;
         double allowed = Math.max(1.0 / controllers, margin * budget) + windowDraw(invoker);
-        return invoker.slowStartWork / size + 1 <= allowed;
+        return invoker.slowStartSizeSum / size + 1 <= allowed;
     }
 
     /** Requests that one of a slow function counts for; a quick one counts whole. */
@@ -67,18 +67,18 @@
 
     /** The share of its capacity that the settings allow the invoker by now. */
     private double warmShare(InvokerState invoker) {
-        long age = Math.max(0, state.now - invoker.warmingSince);
+        long age = Math.max(0, state.now - invoker.slowStartSince);
         double initial = rules.slowStartInitialShare();
         return initial + (1 - initial) * (age / (double) rules.slowStartMicros());
     }
 
     /** Responses that this controller gets from one invoker of the kind within the window. */
     private double usualSends(InvokerState invoker) {
-        DecayingSum served = state.servedByKind.get(invoker.endpoint.kind());
+        DecayingSum served = state.servedRequestsByKind.get(invoker.endpoint.kind());
         if (served == null) {
             return 0;
         }
-        DecayingAverage ready = state.readyByKind.get(invoker.endpoint.kind());
+        DecayingAverage ready = state.readyInvokersByKind.get(invoker.endpoint.kind());
         double rate = served.value(state.now) / FinishTimeEstimate.RATE_DECAY_MICROS;
         double alike = ready == null ? 1 : Math.max(1, ready.max(state.now)); // more during a roll
         return rate * rules.overloadWindowMicros() / alike;
@@ -87,10 +87,10 @@
     /** One random number per invoker and window, which rounds the share of this controller. */
     private double windowDraw(InvokerState invoker) {
         long window = (state.now + windowPhase) / Math.max(1, rules.overloadWindowMicros());
-        if (invoker.budgetWindow != window) {
-            invoker.budgetWindow = window;
-            invoker.budgetDraw = state.random.nextDouble();
+        if (invoker.budgetRoundingWindow != window) {
+            invoker.budgetRoundingWindow = window;
+            invoker.budgetRounding = state.random.nextDouble();
         }
-        return invoker.budgetDraw;
+        return invoker.budgetRounding;
     }
 }
--- a/src/main/java/waytrestle/scheduler/StateMaintenance.java
+++ b/src/main/java/waytrestle/scheduler/StateMaintenance.java
@@ -37,7 +37,7 @@
     /** One round; sets the timer of the next. */
     void run() {
         state.commands.add(new SetTimer(INTERVAL_MICROS, new SchedulerTimer.Maintenance()));
-        state.trim(
+        state.dropOlderThan(
                 state.requestTimes, Math.max(1, state.settings.preloading().preloadPeriodMicros()));
         state.invokers.values().removeIf(invoker -> !invoker.ready && invoker.inFlight == 0);
         double expiry = EXPIRY * state.keepAliveMicros();
@@ -70,11 +70,11 @@
             return;
         }
         double keepAlive = state.keepAliveMicros();
-        boolean busy = function.requests >= RENEWAL_REQUESTS;
+        boolean busy = function.requestCount >= RENEWAL_REQUESTS;
         boolean recent = state.now - function.lastRequestAt < RENEWAL_IDLE * keepAlive;
-        boolean due = state.now - instance.usedAt > RENEWAL_AGE * keepAlive;
+        boolean due = state.now - instance.lastUsedAt > RENEWAL_AGE * keepAlive;
         if (busy && recent && due && preloads.preload(invoker, function, 1)) {
-            instance.usedAt = state.now;
+            instance.lastUsedAt = state.now;
         }
     }
 }
--- a/src/test/java/waytrestle/scheduler/EmbeddingTest.java
+++ b/src/test/java/waytrestle/scheduler/EmbeddingTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void theExampleOfTheReadmeSendsTheRequest() {
+    void readmeExampleForwardsOneAttemptForTheRequest() {
         SchedulerFixture fixture = new SchedulerFixture();
         fixture.acceptsPreloads = false;
         SchedulerSettings settings = fixture.settings();
--- a/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
+++ b/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,8 +18,8 @@
 /** Changes of the endpoint list. */
 class EndpointTrackerTest {
     @Test
-    void drainingAndGoneInvokersGetNothing() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
+    void drainingInvokersAndInvokersMissingInASnapshotReceiveNoAttempts() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.feed(
                 new EndpointsUpdated(
                         false,
@@ -27,16 +27,16 @@
                         List.of(new InvokerEndpoint("a", 0, 0, 0, EndpointState.DRAINING, 1, 0))));
         for (int i = 1; i < 9; i++) {
             assertEquals(
-                    "b", onlyOne(scheduler.request(i, "f" + i), ForwardAttempt.class).invoker());
+                    "b", onlyCommand(scheduler.request(i, "f" + i), ForwardAttempt.class).invoker());
         }
-        scheduler.feed(new EndpointsUpdated(true, false, List.of(ready("c"))));
-        assertEquals("c", onlyOne(scheduler.request(20, "g"), ForwardAttempt.class).invoker());
+        scheduler.feed(new EndpointsUpdated(true, false, List.of(readyInvoker("c"))));
+        assertEquals("c", onlyCommand(scheduler.request(20, "g"), ForwardAttempt.class).invoker());
     }
 
     @Test
-    void aRestartForgetsTheInstances() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+    void restartedInvokerIsTreatedAsHoldingNoInstances() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         long upSince = scheduler.now - 11_000_000;
         scheduler.feed(
                 new EndpointsUpdated(
@@ -46,33 +46,33 @@
                                 new InvokerEndpoint(
                                         known, 0, 0, 0, EndpointState.READY, 1, upSince))));
         String to =
-                onlyOne(scheduler.request(2, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(2, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker();
         List<SchedulerCommand> commands =
-                scheduler.completed(2, 0, to, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(2, 0, to, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         assertEquals(
                 1,
-                allOf(commands, ForwardAttempt.class).size(),
+                commandsOfType(commands, ForwardAttempt.class).size(),
                 "full for a load moves on, full for a warm instance waits");
     }
 
     @Test
-    void subscribesWhereTheListIsPolledAndSubscribesAgainAfterAFailure() {
+    void polledEndpointListIsSubscribedToAndAgainAfterAFailedUpdate() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.discovery = DiscoveryMode.POLL;
-        scheduler.start(ready("a"));
-        assertEquals(1, allOf(scheduler.commands, SubscribeToEndpoints.class).size());
+        scheduler.start(readyInvoker("a"));
+        assertEquals(1, commandsOfType(scheduler.commands, SubscribeToEndpoints.class).size());
         SchedulerTimer timer =
-                onlyOne(scheduler.feed(new EndpointUpdateFailed()), SetTimer.class).timer();
+                onlyCommand(scheduler.feed(new EndpointUpdateFailed()), SetTimer.class).timer();
         assertEquals(
                 1,
-                allOf(scheduler.feed(new TimerExpired(timer)), SubscribeToEndpoints.class).size());
+                commandsOfType(scheduler.feed(new TimerExpired(timer)), SubscribeToEndpoints.class).size());
     }
 
     @Test
-    void anInvokerThatLeftTheListAndReturnedIsUsedAgain() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"));
-        scheduler.warm(1, "f");
+    void goneInvokerReceivesAttemptsAgainOnceListedAsReady() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
+        scheduler.serveWarm(1, "f");
         scheduler.feed(
                 new EndpointsUpdated(
                         false,
@@ -80,10 +80,10 @@
                         List.of(new InvokerEndpoint("a", 0, 0, 0, EndpointState.GONE, 1, 0))));
         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
         assertTrue(
-                scheduler.preloaded("a", "f", 1).isEmpty(),
+                scheduler.completePreload("a", "f", 1).isEmpty(),
                 "a late preload response must not bring it back");
-        assertTrue(allOf(scheduler.request(2, "f"), ForwardAttempt.class).isEmpty());
-        scheduler.feed(new EndpointsUpdated(false, false, List.of(ready("a"))));
-        assertEquals("a", onlyOne(scheduler.request(3, "f"), ForwardAttempt.class).invoker());
+        assertTrue(commandsOfType(scheduler.request(2, "f"), ForwardAttempt.class).isEmpty());
+        scheduler.feed(new EndpointsUpdated(false, false, List.of(readyInvoker("a"))));
+        assertEquals("a", onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker());
     }
 }
--- a/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import java.util.function.IntPredicate;
@@ -20,30 +20,30 @@
 /** Invokers that cannot be reached, reset, are at capacity or fall silent. */
 class InvokerBackoffTest {
     @Test
-    void fastFailuresDoNotAttractRequests() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String bad = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
-        scheduler.completed(1, 0, bad, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
+    void invokerThatFailsFastReceivesFewRequests() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.completeAttempt(1, 0, bad, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
         String good = bad.equals("a") ? "b" : "a";
         scheduler.now += 100_000;
-        scheduler.completed(1, 1, good, ResponseCode.OK, StartKind.WARM, 100_000);
+        scheduler.completeAttempt(1, 1, good, ResponseCode.OK, StartKind.WARM, 100_000);
         int toBad = 0;
         for (int i = 2; i < 40; i++) {
-            String to = onlyOne(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             toBad += to.equals(bad) ? 1 : 0;
             scheduler.now += 100_000;
             List<SchedulerCommand> next =
-                    scheduler.completed(
+                    scheduler.completeAttempt(
                             i,
                             0,
                             to,
                             to.equals(bad) ? ResponseCode.ERROR : ResponseCode.OK,
                             StartKind.WARM,
                             100_000);
-            allOf(next, ForwardAttempt.class)
+            commandsOfType(next, ForwardAttempt.class)
                     .forEach(
                             s ->
-                                    scheduler.completed(
+                                    scheduler.completeAttempt(
                                             s.id(),
                                             1,
                                             s.invoker(),
@@ -55,15 +55,15 @@
     }
 
     @Test
-    void aFailedConnectionPausesAnInvokerAndOneAttemptAtATimeTriesIt() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String bad = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
-        scheduler.completed(1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
+    void invokerReceivesAtMostOneAttemptAtATimeAfterAFailedConnection() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.completeAttempt(1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
         scheduler.now += 300_000;
         int trials = 0;
         for (int i = 2; i < 12; i++) {
             trials +=
-                    onlyOne(scheduler.request(i, "x" + i), ForwardAttempt.class)
+                    onlyCommand(scheduler.request(i, "x" + i), ForwardAttempt.class)
                                     .invoker()
                                     .equals(bad)
                             ? 1
@@ -73,79 +73,79 @@
     }
 
     @Test
-    void oneResetIsNoProofOfAnEndedProcess() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+    void invokerKeepsItsInstancesAfterASingleReset() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 2_000_000);
-        scheduler.completed(2, 0, known, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
-        scheduler.completed(
+        scheduler.completeAttempt(2, 0, known, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
+        scheduler.completeAttempt(
                 2, 1, known.equals("a") ? "b" : "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         scheduler.now += 5_000_000;
         assertEquals(
                 known,
-                onlyOne(scheduler.request(3, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(3, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker());
     }
 
     @Test
-    void fullForALoadLeavesWarmInstancesThereInUse() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"));
-        scheduler.warm(1, "f");
+    void fullResponseToAColdAttemptBlocksLoadsButNotWarmAttempts() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
+        scheduler.serveWarm(1, "f");
         scheduler.request(2, "cold");
-        scheduler.completed(2, 0, "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
-        assertEquals(1, allOf(scheduler.request(3, "f"), ForwardAttempt.class).size());
-        assertTrue(allOf(scheduler.request(4, "cold2"), ForwardAttempt.class).isEmpty());
+        scheduler.completeAttempt(2, 0, "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+        assertEquals(1, commandsOfType(scheduler.request(3, "f"), ForwardAttempt.class).size());
+        assertTrue(commandsOfType(scheduler.request(4, "cold2"), ForwardAttempt.class).isEmpty());
     }
 
     @Test
-    void rejectedLoadsAreForgotten() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
+    void loadAnsweredWithFullNoLongerCountsAsUnderWay() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first =
-                onlyOne(scheduler.request(1, "f", 5_000_000, 900_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(1, "f", 5_000_000, 900_000), ForwardAttempt.class)
                         .invoker();
-        scheduler.completed(1, 0, first, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+        scheduler.completeAttempt(1, 0, first, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         scheduler.now += 4_000_000;
         String again =
-                onlyOne(scheduler.request(2, "f", 1_100_000, 900_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(2, "f", 1_100_000, 900_000), ForwardAttempt.class)
                         .invoker();
         assertFalse(again.isEmpty(), "a rejected load must not go on counting as one under way");
     }
 
     @Test
-    void fullForOneClassLeavesTheInvokerToTheOthers() {
+    void fullResponsesToOneRequestClassMoveOnlyThatClassElsewhere() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.classCount = 2;
-        scheduler.start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+        scheduler.start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 6; i++) {
             scheduler.feed(
                     new RequestReceived(
                             i, 1, -1, "g" + i, 5_000_000, 0, 300, 2, 300_000, false, false));
-            scheduler.completed(i, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
-            scheduler.warm(20 + i, "f");
+            scheduler.completeAttempt(i, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+            scheduler.serveWarm(20 + i, "f");
         }
         for (int i = 30; i < 36; i++) {
             ForwardAttempt attempt =
-                    onlyOne(
+                    onlyCommand(
                             scheduler.feed(
                                     new RequestReceived(
                                             i, 1, -1, "f", 5_000_000, 0, 300, 2, 300_000, false,
                                             false)),
                             ForwardAttempt.class);
-            scheduler.completed(
+            scheduler.completeAttempt(
                     i,
                     0,
                     attempt.invoker(),
                     attempt.invoker().equals(known) ? ResponseCode.FULL : ResponseCode.OK,
                     StartKind.WARM,
                     50_000);
-            scheduler.completed(
+            scheduler.completeAttempt(
                     i, 1, known.equals("a") ? "b" : "a", ResponseCode.OK, StartKind.WARM, 100_000);
             scheduler.now += 300_000;
         }
         assertNotEquals(
                 known,
-                onlyOne(
+                onlyCommand(
                                 scheduler.feed(
                                         new RequestReceived(
                                                 50, 1, -1, "f", 5_000_000, 0, 300, 2, 300_000,
@@ -155,7 +155,7 @@
                 "rejected there");
         assertEquals(
                 known,
-                onlyOne(scheduler.request(51, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(51, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
@@ -163,9 +163,9 @@
     private static void resetSome(
             SchedulerFixture scheduler, int from, int requests, IntPredicate resets) {
         for (int i = from; i < from + requests; i++) {
-            String to = onlyOne(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             scheduler.now += 60_000;
-            scheduler.completed(
+            scheduler.completeAttempt(
                     i,
                     0,
                     to,
@@ -179,40 +179,40 @@
     }
 
     @Test
-    void resetsThatHappenEverywhereMakeNoInvokerCountAsRestarted() {
+    void frequentResetsThatAreUsualDoNotPutAnInvokerIntoSlowStart() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.idempotency = Idempotency.NON_IDEMPOTENT;
-        scheduler.start(ready("a"));
+        scheduler.start(readyInvoker("a"));
         resetSome(scheduler, 1, 60, i -> i % 4 == 0 || i % 4 == 1); // two in a row, again and again
         scheduler.now += 2_000_000; // a pause, if there was one, is over
         int sent = 0;
         for (int i = 100; i < 140; i++) {
-            sent += allOf(scheduler.request(i, "f"), ForwardAttempt.class).size();
+            sent += commandsOfType(scheduler.request(i, "f"), ForwardAttempt.class).size();
             scheduler.now += 10_000;
-            scheduler.completed(i, 0, "a", ResponseCode.OK, StartKind.WARM, 10_000);
+            scheduler.completeAttempt(i, 0, "a", ResponseCode.OK, StartKind.WARM, 10_000);
         }
         assertEquals(40, sent, "a restarted one would get only some of these");
     }
 
     @Test
-    void anInvokerWhoseAttemptsAreAllResetAtOnceCountsAsRestarted() {
+    void simultaneousResetsOfAllAttemptsPutAnInvokerIntoSlowStart() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.idempotency = Idempotency.NON_IDEMPOTENT;
-        scheduler.start(ready("a"));
+        scheduler.start(readyInvoker("a"));
         resetSome(scheduler, 1, 40, i -> false);
         for (int i = 50; i < 54; i++) {
-            onlyOne(scheduler.request(i, "f"), ForwardAttempt.class);
+            onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class);
         }
         for (int i = 50; i < 54; i++) {
-            scheduler.completed(i, 0, "a", ResponseCode.RESET, StartKind.UNKNOWN, 1_000);
+            scheduler.completeAttempt(i, 0, "a", ResponseCode.RESET, StartKind.UNKNOWN, 1_000);
         }
         scheduler.now += 2_000_000;
         int sent = 0;
         for (int i = 100; i < 120; i++) {
             List<SchedulerCommand> commands = scheduler.request(i, "f");
-            sent += allOf(commands, ForwardAttempt.class).size();
+            sent += commandsOfType(commands, ForwardAttempt.class).size();
             if (i == 100) {
-                scheduler.completed(100, 0, "a", ResponseCode.OK, StartKind.COLD, 60_000);
+                scheduler.completeAttempt(100, 0, "a", ResponseCode.OK, StartKind.COLD, 60_000);
             }
         }
         assertTrue(sent >= 1 && sent < 12, "within the slow-start budget: " + sent);
@@ -224,18 +224,18 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = reportsNotLoaded;
         scheduler.idempotency = idempotency;
-        scheduler.start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+        scheduler.start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 2 + requests; i++) {
-            assertEquals(known, onlyOne(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
+            assertEquals(known, onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
         }
         scheduler.now += silence;
         List<SchedulerCommand> commands =
                 scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
-        for (CancelAttempt cancel : allOf(commands, CancelAttempt.class)) {
+        for (CancelAttempt cancel : commandsOfType(commands, CancelAttempt.class)) {
             ForwardAttempt retry =
-                    onlyOne(
-                            scheduler.completed(
+                    onlyCommand(
+                            scheduler.completeAttempt(
                                     cancel.id(),
                                     cancel.attempt(),
                                     known,
@@ -245,11 +245,11 @@
                             ForwardAttempt.class);
             assertTrue(!retry.invoker().equals(known), "not sent there again");
         }
-        return allOf(commands, CancelAttempt.class);
+        return commandsOfType(commands, CancelAttempt.class);
     }
 
     @Test
-    void attemptsAtASilentInvokerAreCancelledWhereTheyMayBeRetried() {
+    void idempotentAttemptsAtASilentInvokerAreCancelledAndRetriedElsewhere() {
         assertEquals(2, cancelledAfterSilence(true, Idempotency.IDEMPOTENT, 2, 1_500_000).size());
         assertEquals(
                 0,
--- a/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import java.util.Set;
@@ -16,38 +16,38 @@
 /** Which invoker a request goes to. */
 class InvokerSelectorTest {
     @Test
-    void staysWithTheWarmInvokerThoughAnotherRanksHigher() {
+    void warmInvokerIsPreferredToAHigherRankedColdOneUntilItsInstanceExpires() {
         SchedulerFixture scheduler =
-                new SchedulerFixture().start(ready("a"), ready("b"), ready("c"));
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
         for (int i = 100; i < 120; i++) {
-            scheduler.warm(i, "g" + i);
+            scheduler.serveWarm(i, "g" + i);
         }
-        String first = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String first = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         String second =
-                onlyOne(
-                                scheduler.completed(
+                onlyCommand(
+                                scheduler.completeAttempt(
                                         1, 0, first, ResponseCode.FULL, StartKind.UNKNOWN, 1_000),
                                 ForwardAttempt.class)
                         .invoker();
-        scheduler.completed(1, 1, second, ResponseCode.OK, StartKind.WARM, 100_000);
+        scheduler.completeAttempt(1, 1, second, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 5_000_000;
-        assertEquals(second, onlyOne(scheduler.request(2, "f"), ForwardAttempt.class).invoker());
-        scheduler.completed(2, 0, second, ResponseCode.OK, StartKind.WARM, 100_000);
+        assertEquals(second, onlyCommand(scheduler.request(2, "f"), ForwardAttempt.class).invoker());
+        scheduler.completeAttempt(2, 0, second, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 10_100_000;
         assertEquals(
                 first,
-                onlyOne(scheduler.request(3, "f"), ForwardAttempt.class).invoker(),
+                onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker(),
                 "an unused instance expires");
     }
 
     @Test
-    void aQueueBeyondTheConcurrencyOfAnInstanceSpreadsTheFunction() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
+    void requestsBeyondTheConcurrencyOfAnInstanceGoToAnotherInvoker() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first = null;
         boolean spread = false;
         for (long id = 1; id <= 14; id++) {
             String to =
-                    onlyOne(scheduler.request(id, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                    onlyCommand(scheduler.request(id, "f", 5_000_000, 300_000), ForwardAttempt.class)
                             .invoker();
             first = first == null ? to : first;
             spread |= !to.equals(first);
@@ -56,23 +56,23 @@
     }
 
     @Test
-    void controllersChooseTheSameColdInvoker() {
+    void controllersWithDifferentListOrdersChooseTheSameColdInvoker() {
         for (int f = 0; f < 20; f++) {
-            SchedulerFixture one = new SchedulerFixture().start(ready("a"), ready("b"), ready("c"));
-            SchedulerFixture two = new SchedulerFixture().start(ready("c"), ready("a"), ready("b"));
+            SchedulerFixture one = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
+            SchedulerFixture two = new SchedulerFixture().start(readyInvoker("c"), readyInvoker("a"), readyInvoker("b"));
             assertEquals(
-                    onlyOne(one.request(1, "f" + f), ForwardAttempt.class).invoker(),
-                    onlyOne(two.request(9, "f" + f), ForwardAttempt.class).invoker());
+                    onlyCommand(one.request(1, "f" + f), ForwardAttempt.class).invoker(),
+                    onlyCommand(two.request(9, "f" + f), ForwardAttempt.class).invoker());
         }
     }
 
     @Test
-    void controllersPlaceABusyFunctionAtDifferentInvokers() {
+    void controllersSpreadABusyFunctionButNotARareOne() {
         Set<String> hot = new TreeSet<>();
         Set<String> rare = new TreeSet<>();
         InvokerEndpoint[] fleet = new InvokerEndpoint[20];
         for (int i = 0; i < fleet.length; i++) {
-            fleet[i] = ready("w" + i);
+            fleet[i] = readyInvoker("w" + i);
         }
         for (int seed = 0; seed < 30; seed++) {
             SchedulerFixture scheduler = new SchedulerFixture();
@@ -82,8 +82,8 @@
             for (int i = 1; i <= 40; i++) {
                 String function = i % 2 == 0 ? "hot" : "other" + i;
                 for (ForwardAttempt attempt :
-                        allOf(scheduler.request(i, function), ForwardAttempt.class)) {
-                    scheduler.completed(
+                        commandsOfType(scheduler.request(i, function), ForwardAttempt.class)) {
+                    scheduler.completeAttempt(
                             i,
                             0,
                             attempt.invoker(),
--- a/src/test/java/waytrestle/scheduler/PreloadPlannerTest.java
+++ b/src/test/java/waytrestle/scheduler/PreloadPlannerTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,44 +15,44 @@
 /** Preload requests and their rate limit. */
 class PreloadPlannerTest {
     @Test
-    void preloadsAreRateLimited() {
+    void preloadsStayWithinFreePreloadsPlusShareOfRequests() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
         scheduler.freePreloads = 1;
         scheduler.preloadsPerRequest = 0.1;
         scheduler.preloadPeriodMicros = 5_000_000;
-        scheduler.start(ready("a"), ready("b"), ready("c"), ready("d"));
+        scheduler.start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"), readyInvoker("d"));
         for (int i = 1; i <= 9; i++) {
             String to =
-                    onlyOne(scheduler.request(i, "f" + i, 4_000_000, 500_000), ForwardAttempt.class)
+                    onlyCommand(scheduler.request(i, "f" + i, 4_000_000, 500_000), ForwardAttempt.class)
                             .invoker();
-            scheduler.completed(i, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+            scheduler.completeAttempt(i, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         }
-        assertEquals(1, allOf(scheduler.commands, PreloadFunction.class).size());
+        assertEquals(1, commandsOfType(scheduler.commands, PreloadFunction.class).size());
         String to =
-                onlyOne(scheduler.request(10, "f10", 4_000_000, 500_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(10, "f10", 4_000_000, 500_000), ForwardAttempt.class)
                         .invoker();
-        scheduler.completed(10, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
-        assertEquals(2, allOf(scheduler.commands, PreloadFunction.class).size(), "1 + 0.1 x 10");
+        scheduler.completeAttempt(10, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        assertEquals(2, commandsOfType(scheduler.commands, PreloadFunction.class).size(), "1 + 0.1 x 10");
     }
 
     @Test
-    void aPreloadWhoseConnectionBreaksIsRetriedWhereItWas() {
+    void resetPreloadIsRetriedAtTheSameInvokerAFewTimesButNotAfterAFailedConnection() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
-        scheduler.start(ready("a"), ready("b"));
-        String to = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.start(readyInvoker("a"), readyInvoker("b"));
+        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         PreloadFunction preload =
-                onlyOne(
-                        scheduler.completed(
+                onlyCommand(
+                        scheduler.completeAttempt(
                                 1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000),
                         PreloadFunction.class);
         assertEquals(to, preload.invoker());
         List<SchedulerCommand> commands =
                 scheduler.feed(new PreloadCompleted(to, "f", ResponseCode.RESET, 5_000, 0));
-        assertEquals(to, onlyOne(commands, PreloadFunction.class).invoker());
+        assertEquals(to, onlyCommand(commands, PreloadFunction.class).invoker());
         int preloads = 1;
-        for (; preloads < 100 && allOf(commands, PreloadFunction.class).size() == 1; preloads++) {
+        for (; preloads < 100 && commandsOfType(commands, PreloadFunction.class).size() == 1; preloads++) {
             commands = scheduler.feed(new PreloadCompleted(to, "f", ResponseCode.RESET, 5_000, 0));
         }
         assertTrue(preloads < 10, "not for ever: " + preloads);
@@ -61,7 +61,7 @@
                 scheduler.feed(
                         new PreloadCompleted(to, "f", ResponseCode.CONNECT_FAILED, 5_000, 0));
         assertTrue(
-                allOf(commands, PreloadFunction.class).isEmpty(),
+                commandsOfType(commands, PreloadFunction.class).isEmpty(),
                 "at a process that has ended it is not");
     }
 }
--- a/src/test/java/waytrestle/scheduler/ReadinessLeasesTest.java
+++ b/src/test/java/waytrestle/scheduler/ReadinessLeasesTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import java.util.Map;
@@ -50,34 +50,34 @@
     }
 
     private static String checkedInvoker(List<SchedulerCommand> commands) {
-        assertEquals(List.of(), allOf(commands, ForwardAttempt.class), "nothing is sent unasked");
-        return onlyOne(commands, CheckHealth.class).invoker();
+        assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class), "nothing is sent unasked");
+        return onlyCommand(commands, CheckHealth.class).invoker();
     }
 
     @Test
-    void aCurrentListNeedsNoHealthChecks() {
+    void noHealthChecksAreSentWhileTheEndpointListIsCurrent() {
         scheduler.mayCheckHealth = true;
-        scheduler.start(ready("a"));
+        scheduler.start(readyInvoker("a"));
         scheduler.now += 100 * SECOND;
         List<SchedulerCommand> commands = scheduler.request(1, "f");
-        assertEquals("a", onlyOne(commands, ForwardAttempt.class).invoker());
-        assertEquals(List.of(), allOf(commands, CheckHealth.class));
+        assertEquals("a", onlyCommand(commands, ForwardAttempt.class).invoker());
+        assertEquals(List.of(), commandsOfType(commands, CheckHealth.class));
     }
 
     @Test
-    void anOutdatedListIsActedOnForPartOfTheGraceAndThenTheHealthIsCheckedFirst() {
-        startAndLoseDiscovery(ready("a"));
+    void outdatedListIsValidForOneLeaseAndThenRequestsWaitForAHealthCheck() {
+        startAndLoseDiscovery(readyInvoker("a"));
         scheduler.now += LEASE_MICROS;
         assertTrue(mayStartWork("a"));
-        assertEquals(1, allOf(scheduler.request(1, "f"), ForwardAttempt.class).size());
+        assertEquals(1, commandsOfType(scheduler.request(1, "f"), ForwardAttempt.class).size());
         scheduler.now += 1;
         assertFalse(mayStartWork("a"));
         assertEquals("a", checkedInvoker(scheduler.request(2, "g")));
         assertEquals(
-                List.of(), allOf(scheduler.request(3, "h"), CheckHealth.class), "one at a time");
+                List.of(), commandsOfType(scheduler.request(3, "h"), CheckHealth.class), "one at a time");
         long sentAt = scheduler.now;
         List<SchedulerCommand> commands = checked("a", ResponseCode.OK);
-        assertEquals(2, allOf(commands, ForwardAttempt.class).size(), "both that waited");
+        assertEquals(2, commandsOfType(commands, ForwardAttempt.class).size(), "both that waited");
         scheduler.now = sentAt + LEASE_MICROS;
         assertTrue(mayStartWork("a"), "the lease counts from when the check was sent");
         scheduler.now++;
@@ -85,50 +85,50 @@
     }
 
     @Test
-    void anAcceptedRequestRenewsNothing() {
-        startAndLoseDiscovery(ready("a"));
+    void successfulResponseDoesNotRenewTheLease() {
+        startAndLoseDiscovery(readyInvoker("a"));
         scheduler.now += LEASE_MICROS;
-        ForwardAttempt attempt = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class);
+        ForwardAttempt attempt = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class);
         scheduler.now += 50_000;
-        scheduler.completed(1, 0, attempt.invoker(), ResponseCode.OK, StartKind.WARM, 50_000);
+        scheduler.completeAttempt(1, 0, attempt.invoker(), ResponseCode.OK, StartKind.WARM, 50_000);
         assertFalse(mayStartWork("a"), "a draining invoker accepts requests for a while");
     }
 
     @Test
-    void anInvokerInUseIsCheckedAheadOfTheEndOfItsLease() {
-        startAndLoseDiscovery(ready("a"));
+    void attemptInTheSecondHalfOfALeaseSendsAHealthCheckWithoutWaitingForIt() {
+        startAndLoseDiscovery(readyInvoker("a"));
         scheduler.now += LEASE_MICROS + 1;
         checkedInvoker(scheduler.request(1, "f"));
         checked("a", ResponseCode.OK);
         scheduler.now += LEASE_MICROS / 4;
-        assertEquals(List.of(), allOf(scheduler.request(2, "f"), CheckHealth.class), "too early");
+        assertEquals(List.of(), commandsOfType(scheduler.request(2, "f"), CheckHealth.class), "too early");
         scheduler.now += LEASE_MICROS / 2;
         List<SchedulerCommand> commands = scheduler.request(3, "f");
-        assertEquals(1, allOf(commands, ForwardAttempt.class).size(), "nothing waits for it");
-        assertEquals(1, allOf(commands, CheckHealth.class).size());
+        assertEquals(1, commandsOfType(commands, ForwardAttempt.class).size(), "nothing waits for it");
+        assertEquals(1, commandsOfType(commands, CheckHealth.class).size());
     }
 
     @Test
-    void anInvokerThatFailsItsCheckGetsNothingAndIsLeftAloneForAWhile() {
-        startAndLoseDiscovery(ready("a"), ready("b"));
+    void invokerThatFailsAHealthCheckReceivesNeitherAttemptsNorChecksDuringItsPause() {
+        startAndLoseDiscovery(readyInvoker("a"), readyInvoker("b"));
         scheduler.now += LEASE_MICROS + 1;
         String draining = checkedInvoker(scheduler.request(1, "f"));
         String other = draining.equals("a") ? "b" : "a";
         assertEquals(other, checkedInvoker(checked(draining, ResponseCode.ERROR)));
         List<SchedulerCommand> commands = checked(other, ResponseCode.OK);
-        assertEquals(other, onlyOne(commands, ForwardAttempt.class).invoker());
+        assertEquals(other, onlyCommand(commands, ForwardAttempt.class).invoker());
         for (int i = 2; i < 10; i++) {
             scheduler.now += 10_000;
             commands = scheduler.request(i, "g" + i);
-            assertEquals(other, onlyOne(commands, ForwardAttempt.class).invoker());
-            assertEquals(List.of(), allOf(commands, CheckHealth.class));
+            assertEquals(other, onlyCommand(commands, ForwardAttempt.class).invoker());
+            assertEquals(List.of(), commandsOfType(commands, CheckHealth.class));
         }
         assertFalse(mayStartWork(draining));
     }
 
     @Test
-    void anInvokerThatDoesNotAnswerHoldsNoRequestForLong() {
-        startAndLoseDiscovery(ready("a"), ready("b"));
+    void requestMovesToAnotherInvokerWhenAHealthCheckGetsNoResponse() {
+        startAndLoseDiscovery(readyInvoker("a"), readyInvoker("b"));
         scheduler.now += LEASE_MICROS + 1;
         String silent = checkedInvoker(scheduler.request(1, "f"));
         scheduler.now += 45_000;
@@ -137,61 +137,61 @@
         String other = checkedInvoker(commands);
         assertFalse(other.equals(silent));
         commands = checked(other, ResponseCode.OK);
-        assertEquals(other, onlyOne(commands, ForwardAttempt.class).invoker());
+        assertEquals(other, onlyCommand(commands, ForwardAttempt.class).invoker());
     }
 
     @Test
-    void aPreloadWaitsForTheCheckAndIsDroppedWhereItFails() {
+    void deferredPreloadIsSentAfterAPassedHealthCheckAndDroppedAfterAFailedOne() {
         scheduler.mayCheckHealth = true;
-        scheduler.start(ready("a"));
+        scheduler.start(readyInvoker("a"));
         for (int i = 100; i < 120; i++) { // teaches that guesses find no loaded instance
             scheduler.request(i, "g" + i);
-            scheduler.completed(i, 0, "a", ResponseCode.OK, StartKind.COLD, 600_000);
+            scheduler.completeAttempt(i, 0, "a", ResponseCode.OK, StartKind.COLD, 600_000);
         }
         scheduler.feed(new ListFreshnessChanged(scheduler.now, false));
         scheduler.now += LEASE_MICROS + 1;
         List<SchedulerCommand> commands = scheduler.request(1, "f", SECOND, 4 * SECOND);
-        onlyOne(commands, RejectRequest.class);
-        assertEquals(List.of(), allOf(commands, PreloadFunction.class));
+        onlyCommand(commands, RejectRequest.class);
+        assertEquals(List.of(), commandsOfType(commands, PreloadFunction.class));
         commands = checked("a", ResponseCode.OK);
-        assertEquals("f", onlyOne(commands, PreloadFunction.class).function());
+        assertEquals("f", onlyCommand(commands, PreloadFunction.class).function());
         scheduler.now += LEASE_MICROS + 1;
         scheduler.request(2, "g", SECOND, 4 * SECOND);
         commands = checked("a", ResponseCode.ERROR);
-        assertEquals(List.of(), allOf(commands, PreloadFunction.class));
+        assertEquals(List.of(), commandsOfType(commands, PreloadFunction.class));
     }
 
     @Test
-    void whereHealthMayNotBeCheckedRequestsAreRejectedAtOnce() {
-        scheduler.start(ready("a"));
+    void withoutHealthChecksRequestsAreRejectedUntilDiscoveryCatchesUp() {
+        scheduler.start(readyInvoker("a"));
         long lostAt = scheduler.now;
         scheduler.feed(new ListFreshnessChanged(lostAt, false));
         scheduler.now += LEASE_MICROS + 1;
         List<SchedulerCommand> commands = scheduler.request(1, "f");
-        assertEquals(SECOND, onlyOne(commands, RejectRequest.class).retryAfterMicros());
-        assertEquals(List.of(), allOf(commands, ForwardAttempt.class));
+        assertEquals(SECOND, onlyCommand(commands, RejectRequest.class).retryAfterMicros());
+        assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class));
         scheduler.feed(new ListFreshnessChanged(lostAt, true));
         commands = scheduler.request(3, "f");
-        assertEquals(List.of(), allOf(commands, RejectRequest.class), "it is about to be back");
-        assertEquals(List.of(), allOf(commands, ForwardAttempt.class));
+        assertEquals(List.of(), commandsOfType(commands, RejectRequest.class), "it is about to be back");
+        assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class));
         scheduler.feed(new ListFreshnessChanged(ListFreshnessChanged.CURRENT, false));
-        assertEquals(1, allOf(scheduler.request(2, "f"), ForwardAttempt.class).size());
+        assertEquals(1, commandsOfType(scheduler.request(2, "f"), ForwardAttempt.class).size());
     }
 
     @Test
-    void anInvokerThatMayHaveStartedAnewCountsAsJustStarted() {
+    void instancesAreForgottenAfterTimeForARestartWithoutALastingConnection() {
         assertFalse(keepsInstances(scheduler, 5 * SECOND, Long.MAX_VALUE));
         assertTrue(keepsInstances(new SchedulerFixture(), 5 * SECOND, 1), "a connection lasted");
         assertTrue(keepsInstances(new SchedulerFixture(), 2 * SECOND, Long.MAX_VALUE), "no time");
     }
 
     @Test
-    void anInvokerThatRefusedACheckAndPassesOneOnANewConnectionCountsAsJustStarted() {
+    void instancesAreForgottenAfterAFailedHealthCheckUnlessTheConnectionLasted() {
         for (long connectedSince : new long[] {1, Long.MAX_VALUE}) {
             SchedulerFixture each = new SchedulerFixture();
             each.mayCheckHealth = true;
-            each.start(ready("a"));
-            each.warm(1, "f");
+            each.start(readyInvoker("a"));
+            each.serveWarm(1, "f");
             each.feed(new ListFreshnessChanged(each.now, false));
             each.now += LEASE_MICROS + 1;
             checkedInvoker(each.request(2, "f"));
@@ -200,7 +200,7 @@
             checkedInvoker(each.request(3, "f"));
             each.feed(new HealthCheckCompleted("a", ResponseCode.OK, 1, Map.of(), connectedSince));
             boolean kept =
-                    !allOf(each.request(4, "f", 3 * SECOND, 9 * SECOND), ForwardAttempt.class)
+                    !commandsOfType(each.request(4, "f", 3 * SECOND, 9 * SECOND), ForwardAttempt.class)
                             .isEmpty();
             assertEquals(connectedSince == 1, kept, "connected since " + connectedSince);
         }
@@ -210,14 +210,14 @@
     private static boolean keepsInstances(
             SchedulerFixture scheduler, long afterMicros, long connectedSince) {
         scheduler.mayCheckHealth = true;
-        scheduler.start(ready("a"));
-        scheduler.warm(1, "f");
+        scheduler.start(readyInvoker("a"));
+        scheduler.serveWarm(1, "f");
         scheduler.feed(new ListFreshnessChanged(scheduler.now, false));
         scheduler.now += afterMicros;
         checkedInvoker(scheduler.request(2, "f"));
         long seen = Math.max(connectedSince, 1);
         scheduler.feed(new HealthCheckCompleted("a", ResponseCode.OK, 1, Map.of(), seen));
         List<SchedulerCommand> commands = scheduler.request(3, "f", 3 * SECOND, 9 * SECOND);
-        return !allOf(commands, ForwardAttempt.class).isEmpty();
+        return !commandsOfType(commands, ForwardAttempt.class).isEmpty();
     }
 }
--- a/src/test/java/waytrestle/scheduler/RequestRouterTest.java
+++ b/src/test/java/waytrestle/scheduler/RequestRouterTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -23,71 +23,71 @@
 /** What becomes of a request: forwarded, queued, rejected or failed. */
 class RequestRouterTest {
     @Test
-    void rejectsWhenTheBestEstimateExceedsTheTimeLeftAndPreloadsTheFunction() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
+    void requestIsRejectedAndItsFunctionPreloadedWhenTheBestEstimateExceedsTheTimeLeft() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         for (int i = 100; i < 120; i++) {
-            String to = onlyOne(scheduler.request(i, "g" + i), ForwardAttempt.class).invoker();
-            scheduler.completed(i, 0, to, ResponseCode.OK, StartKind.COLD, 600_000);
+            String to = onlyCommand(scheduler.request(i, "g" + i), ForwardAttempt.class).invoker();
+            scheduler.completeAttempt(i, 0, to, ResponseCode.OK, StartKind.COLD, 600_000);
         }
         List<SchedulerCommand> commands = scheduler.request(1, "f", 1_000_000, 4_000_000);
-        assertEquals(1_000_000, onlyOne(commands, RejectRequest.class).retryAfterMicros());
+        assertEquals(1_000_000, onlyCommand(commands, RejectRequest.class).retryAfterMicros());
         assertEquals(
                 1,
-                onlyOne(commands, PreloadFunction.class).instances(),
+                onlyCommand(commands, PreloadFunction.class).instances(),
                 "or a slow function would be rejected for ever");
-        SchedulerFixture fits = new SchedulerFixture().start(ready("a"), ready("b"));
+        SchedulerFixture fits = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         assertEquals(
-                1, allOf(fits.request(2, "f", 4_500_000, 4_000_000), ForwardAttempt.class).size());
+                1, commandsOfType(fits.request(2, "f", 4_500_000, 4_000_000), ForwardAttempt.class).size());
     }
 
     @Test
-    void anUnknownLoadTimeRejectsNothing() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"));
-        assertEquals(1, allOf(scheduler.request(1, "f", 300_000, 0), ForwardAttempt.class).size());
+    void requestIsForwardedWhenTheLoadTimeIsUnknown() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
+        assertEquals(1, commandsOfType(scheduler.request(1, "f", 300_000, 0), ForwardAttempt.class).size());
     }
 
     @Test
-    void aGuessThatOftenFindsAnInstanceIsNotRejectedForALoadThatOutlastsTheRequest() {
+    void loadLongerThanTheTimeLeftRejectsOnlyOnceUnknownInstancesProveMostlyCold() {
         SchedulerFixture scheduler =
-                new SchedulerFixture().start(ready("a"), ready("b"), ready("c"));
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
         for (int i = 1; i < 20; i++) {
-            scheduler.warm(i, "g" + i);
+            scheduler.serveWarm(i, "g" + i);
         }
         assertEquals(
                 1,
-                allOf(scheduler.request(50, "f", 400_000, 2_000_000), ForwardAttempt.class).size());
+                commandsOfType(scheduler.request(50, "f", 400_000, 2_000_000), ForwardAttempt.class).size());
         for (int i = 100; i < 160; i++) {
             ForwardAttempt attempt =
-                    onlyOne(
+                    onlyCommand(
                             scheduler.request(i, "h" + i, 5_000_000, 2_000_000),
                             ForwardAttempt.class);
-            scheduler.completed(
+            scheduler.completeAttempt(
                     i, 0, attempt.invoker(), ResponseCode.OK, StartKind.COLD, 2_100_000);
         }
         assertEquals(
                 1,
-                allOf(scheduler.request(200, "k", 400_000, 2_000_000), RejectRequest.class).size());
+                commandsOfType(scheduler.request(200, "k", 400_000, 2_000_000), RejectRequest.class).size());
     }
 
     @Test
-    void whereNotLoadedIsReportedTheRequestIsSentFirstAndThatResponsePreloadsTheFunction() {
+    void notLoadedResponsePreloadsAndRetriesElsewhereAndASecondOneWaitsForTheLoad() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
-        scheduler.start(ready("a"), ready("b"));
+        scheduler.start(readyInvoker("a"), readyInvoker("b"));
         String to =
-                onlyOne(scheduler.request(1, "f", 4_000_000, 500_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(1, "f", 4_000_000, 500_000), ForwardAttempt.class)
                         .invoker();
         List<SchedulerCommand> missed =
-                scheduler.completed(1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
-        assertEquals(to, onlyOne(missed, PreloadFunction.class).invoker());
-        String next = onlyOne(missed, ForwardAttempt.class).invoker();
+                scheduler.completeAttempt(1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        assertEquals(to, onlyCommand(missed, PreloadFunction.class).invoker());
+        String next = onlyCommand(missed, ForwardAttempt.class).invoker();
         assertNotEquals(
                 to, next, "another may hold an instance, and a not-loaded response costs little");
-        scheduler.completed(1, 1, next, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        scheduler.completeAttempt(1, 1, next, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         scheduler.now += 20_000;
         assertEquals(
                 to,
-                onlyOne(
+                onlyCommand(
                                 scheduler.feed(
                                         new TimerExpired(new SchedulerTimer.QueuedRequestRetry(1))),
                                 ForwardAttempt.class)
@@ -96,16 +96,16 @@
     }
 
     @Test
-    void withoutPreloadsANotLoadedResponseMovesTheRequestOn() {
+    void notLoadedResponseRetriesElsewhereWhenPreloadsAreNotAccepted() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
         scheduler.acceptsPreloads = false;
-        scheduler.start(ready("a"), ready("b"));
-        String to = onlyOne(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.start(readyInvoker("a"), readyInvoker("b"));
+        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         assertNotEquals(
                 to,
-                onlyOne(
-                                scheduler.completed(
+                onlyCommand(
+                                scheduler.completeAttempt(
                                         1,
                                         0,
                                         to,
@@ -117,49 +117,49 @@
     }
 
     @Test
-    void theDeadlineEndsEveryRequest() {
+    void deadlineRejectsAQueuedRequestAndFailsANonIdempotentOneInFlight() {
         SchedulerFixture queued = new SchedulerFixture().start();
-        assertTrue(allOf(queued.request(1, "f"), ForwardAttempt.class).isEmpty());
+        assertTrue(commandsOfType(queued.request(1, "f"), ForwardAttempt.class).isEmpty());
         queued.now += 2_996_000;
         assertEquals(
                 1,
-                allOf(
+                commandsOfType(
                                 queued.feed(
                                         new TimerExpired(new SchedulerTimer.RequestDeadline(1))),
                                 RejectRequest.class)
                         .size());
         SchedulerFixture sent = new SchedulerFixture();
         sent.idempotency = Idempotency.NON_IDEMPOTENT;
-        sent.start(ready("a"));
+        sent.start(readyInvoker("a"));
         sent.request(1, "f");
         sent.now += 2_996_000;
         List<SchedulerCommand> commands =
                 sent.feed(new TimerExpired(new SchedulerTimer.RequestDeadline(1)));
-        assertEquals(1, allOf(commands, FailRequest.class).size());
-        assertEquals(1, allOf(commands, CancelAttempt.class).size());
+        assertEquals(1, commandsOfType(commands, FailRequest.class).size());
+        assertEquals(1, commandsOfType(commands, CancelAttempt.class).size());
         assertTrue(
-                sent.completed(1, 0, "a", ResponseCode.CANCELLED, StartKind.UNKNOWN, 1).isEmpty());
+                sent.completeAttempt(1, 0, "a", ResponseCode.CANCELLED, StartKind.UNKNOWN, 1).isEmpty());
     }
 
     @Test
-    void aRequestWithLittleTimeLeftIsSentWhereAQuickRunFits() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"));
-        scheduler.warm(1, "f");
+    void requestIsForwardedWhenTheTimeLeftFitsAQuickRunAndElseRejected() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
+        scheduler.serveWarm(1, "f");
         assertEquals(
                 1,
-                allOf(scheduler.request(2, "f", 60_000, 0), ForwardAttempt.class).size(),
+                commandsOfType(scheduler.request(2, "f", 60_000, 0), ForwardAttempt.class).size(),
                 "usual run 100 ms");
-        assertEquals(1, allOf(scheduler.request(3, "f", 20_000, 0), RejectRequest.class).size());
+        assertEquals(1, commandsOfType(scheduler.request(3, "f", 20_000, 0), RejectRequest.class).size());
     }
 
     @Test
-    void congestionRejectsGuessesToo() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
+    void requestsForUnknownFunctionsAreRejectedWhenAllQueuesAreLong() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         int rejected = 0;
         for (int i = 1; i < 30; i++) {
             List<SchedulerCommand> commands = scheduler.request(i, "f" + i);
-            rejected += allOf(commands, RejectRequest.class).size();
-            allOf(commands, ForwardAttempt.class)
+            rejected += commandsOfType(commands, RejectRequest.class).size();
+            commandsOfType(commands, ForwardAttempt.class)
                     .forEach(
                             attempt ->
                                     scheduler.feed(
@@ -180,53 +180,53 @@
     }
 
     @Test
-    void congestionRejectsEarlyAndTimeAlreadyQueuedCounts() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"));
-        scheduler.warm(1, "f");
+    void congestionRejectsByEstimatedFinishPlusTimeSinceArrival() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
+        scheduler.serveWarm(1, "f");
         int rejected = 0;
         for (int i = 2; i < 40; i++) {
             rejected +=
-                    allOf(scheduler.request(i, "f", 5_000_000, 300_000), RejectRequest.class)
+                    commandsOfType(scheduler.request(i, "f", 5_000_000, 300_000), RejectRequest.class)
                             .size();
         }
         assertTrue(rejected > 0 && rejected < 38, "rejected " + rejected);
-        SchedulerFixture queued = new SchedulerFixture().start(ready("a"));
-        queued.warm(1, "f");
+        SchedulerFixture queued = new SchedulerFixture().start(readyInvoker("a"));
+        queued.serveWarm(1, "f");
         for (int i = 2; i < 7; i++) {
             assertEquals(
                     1,
-                    allOf(queued.request(i, "f", 5_000_000, 300_000), ForwardAttempt.class).size());
+                    commandsOfType(queued.request(i, "f", 5_000_000, 300_000), ForwardAttempt.class).size());
         }
         queued.now += 700_000;
-        queued.completed(2, 0, "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+        queued.completeAttempt(2, 0, "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         queued.now += 40_000;
         List<SchedulerCommand> commands =
                 queued.feed(new TimerExpired(new SchedulerTimer.QueuedRequestRetry(2)));
         assertEquals(
                 1,
-                allOf(commands, RejectRequest.class).size(),
+                commandsOfType(commands, RejectRequest.class).size(),
                 "too late for the objective by now");
     }
 
     @Test
-    void aWarmInvokerAtCapacityMovesTheRequestOn() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+    void fullResponseFromAWarmInvokerRetriesElsewhere() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 300_000);
         List<SchedulerCommand> commands =
-                scheduler.completed(2, 0, known, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(2, 0, known, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         assertNotEquals(
                 known,
-                onlyOne(commands, ForwardAttempt.class).invoker(),
+                onlyCommand(commands, ForwardAttempt.class).invoker(),
                 "it may reject this class for long");
     }
 
     @Test
-    void equalEventsAndSeedGiveEqualCommands() {
+    void equalEventsAndSeedsProduceEqualCommands() {
         List<List<SchedulerCommand>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             SchedulerFixture scheduler =
-                    new SchedulerFixture().start(ready("a"), ready("b"), ready("c"));
+                    new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
             for (int i = 1; i < 50; i++) {
                 scheduler.now += 7_000;
                 scheduler.request(i, "f" + i % 9);
--- a/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
+++ b/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import java.util.Map;
@@ -16,11 +16,11 @@
 /** What responses and load reports teach. */
 class ResponseLearnerTest {
     @Test
-    void aReportedQueueSteersAwayWhereRequestsInFlightAreNotReported() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        scheduler.warm(1, "f");
+    void reportedQueueWithoutInFlightCountMovesTheNextRequestElsewhere() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        scheduler.serveWarm(1, "f");
         String known =
-                onlyOne(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
@@ -35,16 +35,16 @@
                         Map.of("queue", 60.0)));
         assertNotEquals(
                 known,
-                onlyOne(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
     @Test
-    void requestsThatWaitForLoadsAreNoQueue() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        scheduler.warm(1, "f");
+    void reportedQueueOfRequestsWaitingForLoadsDoesNotCountAsQueue() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        scheduler.serveWarm(1, "f");
         String known =
-                onlyOne(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
@@ -59,15 +59,15 @@
                         Map.of("queue", 900.0, "x1", 900.0)));
         assertEquals(
                 known,
-                onlyOne(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
     @Test
-    void aReportedLoadFades() {
+    void reportedQueueLosesItsEffectWithinEightSeconds() {
         for (long later : new long[] {0, 8_000_000}) {
-            SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-            String known = scheduler.warm(1, "f");
+            SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+            String known = scheduler.serveWarm(1, "f");
             scheduler.request(2, "f", 5_000_000, 300_000);
             scheduler.feed(
                     new AttemptCompleted(
@@ -82,24 +82,24 @@
                             Map.of("queue", 60.0)));
             scheduler.now += later;
             String to =
-                    onlyOne(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                    onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                             .invoker();
             assertEquals(later > 0, known.equals(to), "after " + later);
         }
     }
 
     @Test
-    void aControllerThatBeganWithNotLoadedResponsesLearnsThatInstancesAreLoaded() {
+    void noRequestIsRejectedOnceUnknownInstancesProveLoadedAfterInitialNotLoadedResponses() {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
-        scheduler.start(ready("a"), ready("b"), ready("c"));
+        scheduler.start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
         int rejected = 0;
         for (int i = 1; i <= 300; i++) {
             List<SchedulerCommand> commands = scheduler.request(i, "f" + i, 2_400_000, 3_000_000);
             scheduler.now += 10_000;
-            for (ForwardAttempt attempt : allOf(commands, ForwardAttempt.class)) {
+            for (ForwardAttempt attempt : commandsOfType(commands, ForwardAttempt.class)) {
                 boolean notLoaded = i <= 2; // all others are loaded wherever they are requested
-                scheduler.completed(
+                scheduler.completeAttempt(
                         i,
                         0,
                         attempt.invoker(),
@@ -107,7 +107,7 @@
                         StartKind.UNKNOWN,
                         notLoaded ? 1_000 : 60_000);
             }
-            rejected += i > 200 && allOf(commands, RejectRequest.class).size() > 0 ? 1 : 0;
+            rejected += i > 200 && commandsOfType(commands, RejectRequest.class).size() > 0 ? 1 : 0;
         }
         assertEquals(0, rejected, "of the last hundred");
     }
--- a/src/test/java/waytrestle/scheduler/SchedulerFixture.java
+++ b/src/test/java/waytrestle/scheduler/SchedulerFixture.java
@@ -27,7 +27,7 @@
     double preloadsPerRequest;
     long preloadPeriodMicros;
     Idempotency idempotency = Idempotency.IDEMPOTENT;
-    DeduplicationScope scope = DeduplicationScope.CELL;
+    DeduplicationScope deduplicationScope = DeduplicationScope.CELL;
     int maxAttempts = 5;
     DiscoveryMode discovery = DiscoveryMode.PUSH;
     long now = 50_000_000;
@@ -39,7 +39,7 @@
                 new RequestClass(
                         "call",
                         idempotency,
-                        scope,
+                        deduplicationScope,
                         3_000_000,
                         800_000,
                         0,
@@ -90,7 +90,7 @@
         return this;
     }
 
-    static InvokerEndpoint ready(String id) {
+    static InvokerEndpoint readyInvoker(String id) {
         return new InvokerEndpoint(id, 0, 0, 0, EndpointState.READY, 1, 0);
     }
 
@@ -111,7 +111,7 @@
                         id, 0, -1, function, left, 0, 300, 2, loadMicros, false, false));
     }
 
-    List<SchedulerCommand> completed(
+    List<SchedulerCommand> completeAttempt(
             long id,
             int attempt,
             String invoker,
@@ -131,24 +131,24 @@
                         Map.of()));
     }
 
-    List<SchedulerCommand> preloaded(String invoker, String function, int instances) {
+    List<SchedulerCommand> completePreload(String invoker, String function, int instances) {
         return feed(new PreloadCompleted(invoker, function, ResponseCode.OK, 1_000, instances));
     }
 
     /** Has a request of the function served, and returns the invoker that holds it now. */
-    String warm(long id, String function) {
-        ForwardAttempt attempt = onlyOne(request(id, function), ForwardAttempt.class);
+    String serveWarm(long id, String function) {
+        ForwardAttempt attempt = onlyCommand(request(id, function), ForwardAttempt.class);
         now += 100_000;
-        completed(id, 0, attempt.invoker(), ResponseCode.OK, StartKind.WARM, 100_000);
+        completeAttempt(id, 0, attempt.invoker(), ResponseCode.OK, StartKind.WARM, 100_000);
         return attempt.invoker();
     }
 
-    static <T> List<T> allOf(List<SchedulerCommand> commands, Class<T> kind) {
+    static <T> List<T> commandsOfType(List<SchedulerCommand> commands, Class<T> kind) {
         return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    static <T> T onlyOne(List<SchedulerCommand> commands, Class<T> kind) {
-        List<T> found = allOf(commands, kind);
+    static <T> T onlyCommand(List<SchedulerCommand> commands, Class<T> kind) {
+        List<T> found = commandsOfType(commands, kind);
         if (found.size() != 1) {
             throw new AssertionError("wanted one " + kind.getSimpleName() + " in " + commands);
         }
--- a/src/test/java/waytrestle/scheduler/SchedulingRulesTest.java
+++ b/src/test/java/waytrestle/scheduler/SchedulingRulesTest.java
@@ -68,7 +68,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void rulesHoldOnRandomEvents(long seed) {
+    void schedulingRulesHoldForRandomEvents(long seed) {
         start(seed);
         for (int step = 0; step < STEPS; step++) {
             scheduler.now += 1 + random.nextInt(8_000);
--- a/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
+++ b/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
@@ -1,8 +1,8 @@
 package waytrestle.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.allOf;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.commandsOfType;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,7 +13,7 @@
 /** What a just started invoker is sent. */
 class SlowStartBudgetTest {
     @Test
-    void manyControllersTogetherKeepTheBudgetOfAWarmingInvoker() {
+    void controllersTogetherStayWithinTheSlowStartBudgetOfAnInvoker() {
         int most = 0;
         int all = 0;
         int[] windows = new int[40];
@@ -21,7 +21,7 @@
             SchedulerFixture scheduler = new SchedulerFixture();
             scheduler.controllerCount = 150;
             scheduler.start(
-                    ready("warm"),
+                    readyInvoker("warm"),
                     new InvokerEndpoint("new", 0, 0, 0, EndpointState.READY, 1, scheduler.now));
             scheduler.scheduler = new FinishTimeScheduler(scheduler.settings(), 1_000 + index);
             scheduler.feed(
@@ -29,7 +29,7 @@
                             true,
                             true,
                             List.of(
-                                    ready("warm"),
+                                    readyInvoker("warm"),
                                     new InvokerEndpoint(
                                             "new",
                                             0,
@@ -43,12 +43,12 @@
                 scheduler.now = start + i * 25_000L;
                 scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
                 for (ForwardAttempt attempt :
-                        allOf(scheduler.request(i, "f" + i), ForwardAttempt.class)) {
+                        commandsOfType(scheduler.request(i, "f" + i), ForwardAttempt.class)) {
                     boolean warming = attempt.invoker().equals("new");
                     all++;
                     windows[(int) ((scheduler.now - start) / 250_000)] += warming ? 1 : 0;
                     // The warm invoker serves each controller once a second, whatever it is sent.
-                    scheduler.completed(
+                    scheduler.completeAttempt(
                             i,
                             0,
                             attempt.invoker(),
--- a/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
+++ b/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.scheduler.SchedulerFixture.onlyOne;
-import static waytrestle.scheduler.SchedulerFixture.ready;
+import static waytrestle.scheduler.SchedulerFixture.onlyCommand;
+import static waytrestle.scheduler.SchedulerFixture.readyInvoker;
 
 import org.junit.jupiter.api.Test;
 import waytrestle.scheduler.SchedulerCommand.PreloadFunction;
@@ -13,21 +13,21 @@
 /** Periodic maintenance: keep-alive renewal and its cost. */
 class StateMaintenanceTest {
     @Test
-    void renewsAnInstanceWorthKeepingBeforeItExpires() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(ready("a"), ready("b"));
-        String known = scheduler.warm(1, "f");
+    void instanceOfAFunctionInUseIsPreloadedAgainBeforeItsKeepAliveExpires() {
+        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f");
-        scheduler.completed(2, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+        scheduler.completeAttempt(2, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 8_000_000;
         PreloadFunction preload =
-                onlyOne(
+                onlyCommand(
                         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance())),
                         PreloadFunction.class);
         assertEquals(new PreloadFunction(known, "f", 1), preload);
     }
 
     @Test
-    void maintenanceCostsByInstancesKnownNotByFunctionsTimesInvokers() {
+    void maintenanceTimeDoesNotGrowWithInvokersWhenKnownInstancesStayEqual() {
         long few = quickestMaintenanceNanos(10);
         long many = quickestMaintenanceNanos(100);
         assertTrue(
@@ -39,7 +39,7 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         InvokerEndpoint[] fleet = new InvokerEndpoint[invokers];
         for (int i = 0; i < invokers; i++) {
-            fleet[i] = ready("w" + i);
+            fleet[i] = readyInvoker("w" + i);
         }
         scheduler.start(fleet);
         for (int i = 1; i <= 3_000; i++) {
