--- a/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
+++ b/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
@@ -87,7 +87,7 @@
         dispatcher.notifyPendingRequests(
                 new PendingRequests.AttemptWaiting(request.id(), attempt.number()));
         request.firstClient().checkConnected();
-        SendGuard.Refusal refusal = sendGuard.refusal(request.sendHistory(), intent(attempt));
+        SendGuard.Refusal refusal = sendGuard.checkSend(request.sendHistory(), intent(attempt));
         if (refusal == null) {
             readiness.sent(ControllerListener.WorkKind.ATTEMPT);
             dispatcher.notifyPendingRequests(
@@ -129,7 +129,7 @@
         Classification classification = command.classification();
         request.attemptEnded();
         attempt.setCode(classification.code());
-        request.sendHistory().ended(attempt.number(), classification.code());
+        request.sendHistory().recordEnd(attempt.number(), classification.code());
         recordWarmResponse(attempt, command.loadReport().start());
         listener.attemptEnded(
                 request.incoming(), attempt.number(), attempt.invoker(), attempt.code());
--- a/src/main/java/waytrestle/controller/AttemptSender.java
+++ b/src/main/java/waytrestle/controller/AttemptSender.java
@@ -126,8 +126,8 @@
     /** The id by which invokers recognise the attempts of one request. */
     private String forwardedId(OpenRequest request) {
         IncomingRequest incoming = request.incoming();
-        if (incoming.forwardedId() != null) {
-            return incoming.forwardedId();
+        if (incoming.forwardedRequestId() != null) {
+            return incoming.forwardedRequestId();
         }
         if (incoming.idempotencyKey() != null) {
             return incoming.idempotencyKey().key();
--- a/src/main/java/waytrestle/controller/Controller.java
+++ b/src/main/java/waytrestle/controller/Controller.java
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean hasReadyInvoker() {
         return connections.readyCount() > 0;
     }
 
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -106,7 +106,7 @@
                 return null; // it begins no work
             }
             WorkReadiness.Readiness known = readiness.of(command.invoker(), invokerWasReady);
-            if (sendGuard.preloadRefusal(known.ready(), known.known()) != null) {
+            if (sendGuard.checkPreload(known.ready(), known.known()) != null) {
                 return ExchangeResult.Kind.NO_CAPACITY;
             }
             readiness.sent(ControllerListener.WorkKind.PRELOAD);
--- a/src/main/java/waytrestle/controller/ResponseGuard.java
+++ b/src/main/java/waytrestle/controller/ResponseGuard.java
@@ -35,6 +35,6 @@
         if (sendGuard.mayReject(request.sendHistory(), requestClass)) {
             return outcome;
         }
-        return new Failed(rejected.reason(), true, rejected.attempts());
+        return new Failed(rejected.reason(), true, rejected.attemptSummary());
     }
 }
--- a/src/main/java/waytrestle/controller/WaitingClients.java
+++ b/src/main/java/waytrestle/controller/WaitingClients.java
@@ -50,7 +50,7 @@
                         clientId,
                         incoming.requestClass(),
                         incoming.tenant(),
-                        incoming.retryMark(),
+                        incoming.retryFingerprint(),
                         incoming.idempotencyKey(),
                         incoming.timeLeftMicros()));
         return () -> disconnected(clientId, incoming);
--- a/src/main/java/waytrestle/front/Fronts.java
+++ b/src/main/java/waytrestle/front/Fronts.java
@@ -55,7 +55,7 @@
                         429;
                 case FUNCTION_NOT_FOUND -> 404;
                 case DEADLINE_EXCEEDED -> 504;
-                case CIRCUIT_OPEN -> said(refused.attempts().lastResponse());
+                case CIRCUIT_OPEN -> said(refused.attemptSummary().lastResponseText());
                 default -> 503;
             };
         }
@@ -79,11 +79,11 @@
 
     public static RequestOutcome.AttemptSummary tried(RequestOutcome end) {
         return end instanceof RequestOutcome.Rejected refused
-                ? refused.attempts()
+                ? refused.attemptSummary()
                 : end instanceof RequestOutcome.Failed failed
-                        ? failed.attempts()
+                        ? failed.attemptSummary()
                         : end instanceof RequestOutcome.FunctionError answered
-                                ? answered.attempts()
+                                ? answered.attemptSummary()
                                 : RequestOutcome.AttemptSummary.NONE;
     }
 
--- a/src/main/java/waytrestle/front/kserve/KserveFront.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFront.java
@@ -115,7 +115,7 @@
                 && p[1].equals("health")
                 && get
                 && (p[2].equals("live") || p[2].equals("ready"))) {
-            boolean up = p[2].equals("live") || intake.ready();
+            boolean up = p[2].equals("live") || intake.hasReadyInvoker();
             answer(e, up ? 200 : 503, g -> g.writeBooleanField(p[2], up));
         } else if (tenant(e.message()) == null) { // what there is, is for those who may call it
             fault(e, 401, "bearer", "no bearer key that is known here");
@@ -140,10 +140,10 @@
             } else if (last.equals("ready")) {
                 answer(
                         e,
-                        intake.ready() ? 200 : 503,
+                        intake.hasReadyInvoker() ? 200 : 503,
                         g -> {
                             g.writeStringField("name", p[2]);
-                            g.writeBooleanField("ready", intake.ready());
+                            g.writeBooleanField("ready", intake.hasReadyInvoker());
                         });
             } else if (last.isEmpty()) {
                 metadata(e, p[2]);
@@ -369,9 +369,9 @@
                 g -> {
                     g.writeStringField("error", Fronts.why(end).description());
                     g.writeStringField("reason", Fronts.kind(end));
-                    if (!tried.lastResponse().isEmpty()) {
-                        g.writeNumberField("attempts", tried.attempts());
-                        g.writeStringField("last", tried.lastResponse());
+                    if (!tried.lastResponseText().isEmpty()) {
+                        g.writeNumberField("attempts", tried.forwardedAttempts());
+                        g.writeStringField("last", tried.lastResponseText());
                     }
                     if (millis > 0) {
                         g.writeNumberField("retry_after_ms", millis);
--- a/src/main/java/waytrestle/front/webhook/WebhookFront.java
+++ b/src/main/java/waytrestle/front/webhook/WebhookFront.java
@@ -205,16 +205,16 @@
                                 "the function answered with this status and nothing more",
                                 Fronts.harmless(end),
                                 0,
-                                tried.attempts(),
-                                tried.lastResponse())
+                                tried.forwardedAttempts(),
+                                tried.lastResponseText())
                         : new Problem(
                                 status,
                                 Fronts.kind(end),
                                 Fronts.why(end).description(),
                                 Fronts.harmless(end),
                                 millis,
-                                tried.attempts(),
-                                tried.lastResponse());
+                                tried.forwardedAttempts(),
+                                tried.lastResponseText());
         if (millis > 0) {
             e.answer(
                     status,
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -168,7 +168,7 @@
                     new WebhookFront(
                             config.endpoints(),
                             config.module().classes(),
-                            config.ids().toleranceSeconds(),
+                            config.ids().signatureToleranceSeconds(),
                             config.transitMicros(),
                             known,
                             controller);
--- a/src/main/java/waytrestle/platform/PlatformLog.java
+++ b/src/main/java/waytrestle/platform/PlatformLog.java
@@ -131,7 +131,7 @@
             IncomingRequest request, int attempt, String invoker, long micros) {
         message(
                 new LogLine(SEND_DELAYED_EVENT)
-                        .with("id", request.forwardedId())
+                        .with("id", request.forwardedRequestId())
                         .with("attempt", attempt)
                         .with("invoker", invoker)
                         .with("delay_ms", micros / MICROS_PER_MILLI)
@@ -172,7 +172,7 @@
     private static String attemptLine(
             String event, IncomingRequest request, int attempt, String invoker, Enum<?> reason) {
         return new LogLine(event)
-                .with("id", request.forwardedId())
+                .with("id", request.forwardedRequestId())
                 .with("class", request.requestClass())
                 .with("attempt", attempt)
                 .with("invoker", invoker)
@@ -185,7 +185,7 @@
         repeats.merge(kind, 1L, Long::sum);
         message(
                 new LogLine("request.repeated")
-                        .with("id", request.forwardedId())
+                        .with("id", request.forwardedRequestId())
                         .with("class", request.requestClass())
                         .with("kind", kind)
                         .toString());
--- a/src/main/java/waytrestle/requests/AttemptLog.java
+++ b/src/main/java/waytrestle/requests/AttemptLog.java
@@ -42,7 +42,7 @@
     private String lastResponseText = "";
     private FunctionError functionError;
 
-    void forwarded(int number, long nowMicros) {
+    void recordForwarded(int number, long nowMicros) {
         while (attempts.size() <= number) {
             attempts.add(new Attempt(nowMicros));
         }
@@ -51,21 +51,21 @@
     }
 
     /** Nothing of the attempt has been written so far: if it is withdrawn now, it has not run. */
-    void waiting(int number) {
+    void recordWaiting(int number) {
         if (isInFlight(number)) {
             attempts.get(number).sent = false;
         }
     }
 
     /** The attempt may be written, and may run, from now on. */
-    void sent(int number) {
+    void recordSent(int number) {
         if (isInFlight(number)) {
             attempts.get(number).sent = true;
         }
     }
 
     /** Records what came back last, also of an attempt that was withheld. */
-    void responseReceived(ResponseCode code, String responseText) {
+    void recordResponse(ResponseCode code, String responseText) {
         lastCode = code;
         // An attempt that was not sent has no response: the last real one says more.
         if (code != ResponseCode.NOT_SENT || lastResponseText.isEmpty()) {
@@ -78,7 +78,7 @@
      *
      * @param error the function's own error, or null if the attempt ended otherwise
      */
-    void failed(int number, ResponseCode code, FunctionError error) {
+    void recordFailure(int number, ResponseCode code, FunctionError error) {
         Attempt attempt = attempts.get(number);
         attempt.inFlight = false;
         if (!code.provesNotRun()) {
@@ -108,7 +108,7 @@
      * When the first attempt that has run, may have run or may still run was forwarded; {@link
      * #NEVER} if the function is proved not to have run.
      */
-    long mayHaveRunSince() {
+    long mayHaveRunSinceMicros() {
         long first = completedMayHaveRunSince;
         for (Attempt attempt : attempts) {
             if (attempt.mayStillRun()) {
@@ -119,7 +119,7 @@
     }
 
     boolean mayHaveRun() {
-        return mayHaveRunSince() != NEVER;
+        return mayHaveRunSinceMicros() != NEVER;
     }
 
     /** How the attempt that completed last ended, or null before the first one has. */
--- a/src/main/java/waytrestle/requests/IdempotencyEntry.java
+++ b/src/main/java/waytrestle/requests/IdempotencyEntry.java
@@ -24,7 +24,7 @@
     final KeyedRequest request;
 
     /** When the first attempt that may have run was forwarded. */
-    long mayHaveRunSince = AttemptLog.NEVER;
+    long mayHaveRunSinceMicros = AttemptLog.NEVER;
 
     private long requestId;
     private RequestOutcome outcome;
@@ -47,7 +47,7 @@
         return outcome;
     }
 
-    long completedAt() {
+    long completedAtMicros() {
         return completedAt;
     }
 
--- a/src/main/java/waytrestle/requests/IdempotencyStore.java
+++ b/src/main/java/waytrestle/requests/IdempotencyStore.java
@@ -34,11 +34,12 @@
     /**
      * The bounds of a store.
      *
-     * @param toleranceSeconds how far a signing time may lie from the wall clock, either way
+     * @param signatureToleranceSeconds how far a signing time may lie from the wall clock, either
+     *     way
      */
-    public record Bounds(int entries, long bytes, long toleranceSeconds) {
+    public record Bounds(int maxEntries, long maxBytes, long signatureToleranceSeconds) {
         long toleranceMicros() {
-            return toleranceSeconds * MICROS_PER_SECOND;
+            return signatureToleranceSeconds * MICROS_PER_SECOND;
         }
     }
 
@@ -69,14 +70,14 @@
         /**
          * The request is to be run.
          *
-         * @param notAfterMicros when invokers cease to drop duplicates of an earlier request that
-         *     may have run, {@link #NO_LIMIT} without one
+         * @param deduplicatedUntilMicros when invokers cease to drop duplicates of an earlier
+         *     request that may have run, {@link #NO_LIMIT} without one
          */
-        record NewRequest(long notAfterMicros) implements LookupResult {
+        record NewRequest(long deduplicatedUntilMicros) implements LookupResult {
             static final long NO_LIMIT = 0;
 
             boolean isLimited() {
-                return notAfterMicros > NO_LIMIT;
+                return deduplicatedUntilMicros > NO_LIMIT;
             }
         }
 
@@ -117,7 +118,7 @@
     }
 
     /** Number of outcomes held, never more than the keys. */
-    int outcomesHeld() {
+    int completedEntries() {
         return completed.size();
     }
 
@@ -161,7 +162,7 @@
         }
         // Rejected although it may have run: only a request whose duplicates all invokers drop is,
         // and they drop them within the deduplication window only.
-        long notAfterMicros = known.mayHaveRunSince + request.deduplicationWindowMicros();
+        long notAfterMicros = known.mayHaveRunSinceMicros + request.deduplicationWindowMicros();
         if (nowMicros < notAfterMicros) {
             return new LookupResult.NewRequest(notAfterMicros);
         }
@@ -173,7 +174,7 @@
         IdempotencyEntry entry = new IdempotencyEntry(request, requestId);
         IdempotencyEntry previous = entries.get(request.key());
         if (previous != null) {
-            entry.mayHaveRunSince = previous.mayHaveRunSince;
+            entry.mayHaveRunSinceMicros = previous.mayHaveRunSinceMicros;
             remove(previous);
         }
         entries.put(request.key(), entry);
@@ -192,8 +193,8 @@
         if (entry == null) {
             return;
         }
-        if (entry.mayHaveRunSince == AttemptLog.NEVER) {
-            entry.mayHaveRunSince = mayHaveRunSince;
+        if (entry.mayHaveRunSinceMicros == AttemptLog.NEVER) {
+            entry.mayHaveRunSinceMicros = mayHaveRunSince;
         }
         if (isRepeatNew(entry, outcome)) {
             entries.remove(entry.request.key());
@@ -208,7 +209,7 @@
         } else {
             evictableResponses.add(entry);
         }
-        while (bytes > bounds.bytes() && canEvict()) {
+        while (bytes > bounds.maxBytes() && canEvict()) {
             evictOne();
         }
     }
@@ -217,7 +218,7 @@
     private static boolean isRepeatNew(IdempotencyEntry entry, RequestOutcome outcome) {
         boolean rejected = outcome instanceof Rejected;
         boolean abandoned = outcome instanceof Failed failed && failed.reason() == Reason.ABANDONED;
-        boolean harmless = entry.mayHaveRunSince == AttemptLog.NEVER || entry.isIdempotent();
+        boolean harmless = entry.mayHaveRunSinceMicros == AttemptLog.NEVER || entry.isIdempotent();
         return (rejected || abandoned) && harmless;
     }
 
@@ -232,11 +233,11 @@
     }
 
     private boolean hasRoom() {
-        return entries.size() < bounds.entries() && hasBytesLeft();
+        return entries.size() < bounds.maxEntries() && hasBytesLeft();
     }
 
     private boolean hasBytesLeft() {
-        return bytes + IdempotencyEntry.OVERHEAD_BYTES <= bounds.bytes();
+        return bytes + IdempotencyEntry.OVERHEAD_BYTES <= bounds.maxBytes();
     }
 
     private boolean canEvict() {
@@ -270,10 +271,10 @@
         while (!completed.isEmpty()) {
             IdempotencyEntry entry = completed.iterator().next();
             long signedAtSeconds = entry.request.signedAtSeconds();
-            boolean agedOut = nowMicros - entry.completedAt() > bounds.toleranceMicros();
+            boolean agedOut = nowMicros - entry.completedAtMicros() > bounds.toleranceMicros();
             boolean signatureExpired =
                     !entry.request.isSigned()
-                            || wallSeconds - signedAtSeconds > bounds.toleranceSeconds();
+                            || wallSeconds - signedAtSeconds > bounds.signatureToleranceSeconds();
             if (!agedOut || !signatureExpired) {
                 return;
             }
--- a/src/main/java/waytrestle/requests/PendingRequest.java
+++ b/src/main/java/waytrestle/requests/PendingRequest.java
@@ -13,7 +13,7 @@
  */
 final class PendingRequest {
     final long id;
-    final long deadline;
+    final long deadlineMicros;
     final RequestClass requestClass;
 
     /** The arrival of the client that began it. */
@@ -30,7 +30,7 @@
 
     PendingRequest(long id, long deadline, RequestClass requestClass, RequestArrived arrival) {
         this.id = id;
-        this.deadline = deadline;
+        this.deadlineMicros = deadline;
         this.requestClass = requestClass;
         this.arrival = arrival;
     }
--- a/src/main/java/waytrestle/requests/PendingRequests.java
+++ b/src/main/java/waytrestle/requests/PendingRequests.java
@@ -56,7 +56,7 @@
             long clientId,
             int requestClass,
             int tenant,
-            long retryMark,
+            long retryFingerprint,
             KeyedRequest idempotencyKey,
             long timeLeftMicros)
             implements Event {}
@@ -251,11 +251,11 @@
 
     private void handle(PendingRequest request, RequestEvent event) {
         if (event instanceof AttemptForwarded forwarded) {
-            request.attempts.forwarded(forwarded.attempt(), now);
+            request.attempts.recordForwarded(forwarded.attempt(), now);
         } else if (event instanceof AttemptWaiting waiting) {
-            request.attempts.waiting(waiting.attempt());
+            request.attempts.recordWaiting(waiting.attempt());
         } else if (event instanceof AttemptSent sent) {
-            request.attempts.sent(sent.attempt());
+            request.attempts.recordSent(sent.attempt());
         } else if (event instanceof AttemptCompleted completed) {
             attemptCompleted(request, completed);
         } else if (event instanceof SchedulerRejectedRequest rejected) {
@@ -309,7 +309,7 @@
         }
         long deadline = now + event.timeLeftMicros();
         if (newRequest.isLimited()) {
-            deadline = Math.min(deadline, newRequest.notAfterMicros());
+            deadline = Math.min(deadline, newRequest.deduplicatedUntilMicros());
         }
         RequestClass requestClass = requestClasses.get(event.requestClass());
         PendingRequest request = new PendingRequest(++lastRequestId, deadline, requestClass, event);
@@ -319,7 +319,7 @@
             idempotencyStore.requestStarted(request.id, event.idempotencyKey());
         }
         addClient(event, request);
-        commands.add(new StartRequest(request.id, event.clientId(), request.deadline - now));
+        commands.add(new StartRequest(request.id, event.clientId(), request.deadlineMicros - now));
     }
 
     /** Why a new request is rejected before the scheduler sees it, or null if it is admitted. */
@@ -335,7 +335,7 @@
         }
         Reason reason =
                 admissionControl.rejectionReason(
-                        now, event.tenant(), event.requestClass(), event.retryMark());
+                        now, event.tenant(), event.requestClass(), event.retryFingerprint());
         return reason == null ? null : new Rejected(reason, ADMISSION_RETRY_AFTER_MICROS);
     }
 
@@ -361,7 +361,7 @@
             return;
         }
         PendingRequest request = client.request();
-        if (request.clients.size() == 1 && isExpired(request.deadline - now)) {
+        if (request.clients.size() == 1 && isExpired(request.deadlineMicros - now)) {
             commands.add(new AbandonRequest(request.id));
             complete(request, outcomes.failure(request, Reason.DEADLINE_EXCEEDED));
             return;
@@ -399,7 +399,7 @@
 
     private void attemptCompleted(PendingRequest request, AttemptCompleted event) {
         AttemptLog attempts = request.attempts;
-        attempts.responseReceived(event.code(), event.responseText());
+        attempts.recordResponse(event.code(), event.responseText());
         if (!attempts.isInFlight(event.attempt())) {
             return; // It was withheld: nothing was sent to an invoker.
         }
@@ -408,7 +408,7 @@
             return;
         }
         FunctionError error = event.outcome() instanceof FunctionError own ? own : null;
-        attempts.failed(event.attempt(), event.code(), error);
+        attempts.recordFailure(event.attempt(), event.code(), error);
         if (request.detached) {
             detachedAttemptFailed(request);
         } else if (event.endsRequest() && event.code() == ResponseCode.NOT_LOADED) {
@@ -463,11 +463,11 @@
                 now,
                 arrival.tenant(),
                 arrival.requestClass(),
-                arrival.retryMark(),
+                arrival.retryFingerprint(),
                 outcome instanceof Rejected,
                 isTimeout(outcome));
         idempotencyStore.requestCompleted(
-                now, request.id, outcome, request.attempts.mayHaveRunSince());
+                now, request.id, outcome, request.attempts.mayHaveRunSinceMicros());
     }
 
     private void respond(long clientId, RequestOutcome outcome) {
--- a/src/main/java/waytrestle/requests/ReasonSelector.java
+++ b/src/main/java/waytrestle/requests/ReasonSelector.java
@@ -20,7 +20,7 @@
     Reason ofSchedulerRejection(
             PendingRequest request, SchedulerRejectedRequest event, long nowMicros) {
         if (event.hasEstimate()) {
-            long timeLeftMicros = request.deadline - nowMicros;
+            long timeLeftMicros = request.deadlineMicros - nowMicros;
             return event.estimateMicros() > timeLeftMicros
                     ? Reason.NO_FINISH_IN_TIME
                     : Reason.OVERLOADED;
@@ -33,7 +33,7 @@
 
     /** The reason of a request that failed without a response of the function. */
     Reason ofFailure(PendingRequest request, long nowMicros) {
-        if (request.deadline - nowMicros <= expiryMarginMicros) {
+        if (request.deadlineMicros - nowMicros <= expiryMarginMicros) {
             return Reason.DEADLINE_EXCEEDED;
         }
         if (request.attempts.anyInFlight()) {
--- a/src/main/java/waytrestle/requests/RequestHandler.java
+++ b/src/main/java/waytrestle/requests/RequestHandler.java
@@ -30,24 +30,24 @@
      *
      * @param tenant -1 without one
      * @param idempotencyKey null for a request that is never joined or remembered
-     * @param retryMark recognises a client's retry of a rejected request, 0 without one
+     * @param retryFingerprint recognises a client's retry of a rejected request, 0 without one
      * @param jsonBytes if not negative, the payload is an inference request whose JSON part has
      *     this length, and the whole inference response is wanted
      * @param hints null if the request declares none
-     * @param forwardedId request id that invokers are to see unchanged, null without one
+     * @param forwardedRequestId request id that invokers are to see unchanged, null without one
      */
     record IncomingRequest(
             int requestClass,
             int tenant,
             String function,
             KeyedRequest idempotencyKey,
-            long retryMark,
+            long retryFingerprint,
             long timeLeftMicros,
             String contentType,
             Bytes payload,
             int jsonBytes,
             FunctionHints hints,
-            String forwardedId) {
+            String forwardedRequestId) {
         /** A request without hints and without a request id to forward. */
         public IncomingRequest(
                 int requestClass,
@@ -96,7 +96,7 @@
     PendingResponse accept(IncomingRequest request, ResponseListener listener);
 
     /** Whether any invoker is ready. */
-    boolean ready();
+    boolean hasReadyInvoker();
 
     /** Wall-clock time, by which signing times are verified. */
     long wallSeconds();
--- a/src/main/java/waytrestle/requests/RequestOutcome.java
+++ b/src/main/java/waytrestle/requests/RequestOutcome.java
@@ -7,11 +7,11 @@
     /**
      * The attempts of a request.
      *
-     * @param attempts number of attempts that were forwarded
-     * @param lastResponse HTTP status of the last response, or a word in place of one; empty
+     * @param forwardedAttempts number of attempts that were forwarded
+     * @param lastResponseText HTTP status of the last response, or a word in place of one; empty
      *     without any
      */
-    record AttemptSummary(int attempts, String lastResponse) {
+    record AttemptSummary(int forwardedAttempts, String lastResponseText) {
         /** No attempt was forwarded. */
         public static final AttemptSummary NONE = new AttemptSummary(0, "");
     }
@@ -36,11 +36,15 @@
      * @param mayHaveRun whether a retry may double an effect
      */
     record FunctionError(
-            int status, String contentType, Bytes body, boolean mayHaveRun, AttemptSummary attempts)
+            int status,
+            String contentType,
+            Bytes body,
+            boolean mayHaveRun,
+            AttemptSummary attemptSummary)
             implements RequestOutcome {}
 
     /** Rejected without an effect that a retry could double: retrying is harmless. */
-    record Rejected(Reason reason, long retryAfterMicros, AttemptSummary attempts)
+    record Rejected(Reason reason, long retryAfterMicros, AttemptSummary attemptSummary)
             implements RequestOutcome {
         /** A rejection before any attempt. */
         public Rejected(Reason reason, long retryAfterMicros) {
@@ -53,7 +57,7 @@
      *
      * @param mayHaveRun whether a retry may double an effect
      */
-    record Failed(Reason reason, boolean mayHaveRun, AttemptSummary attempts)
+    record Failed(Reason reason, boolean mayHaveRun, AttemptSummary attemptSummary)
             implements RequestOutcome {
         /** A failure without any attempt to report. */
         public Failed(Reason reason, boolean mayHaveRun) {
--- a/src/main/java/waytrestle/requests/RetrySafety.java
+++ b/src/main/java/waytrestle/requests/RetrySafety.java
@@ -27,7 +27,7 @@
                 requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         long windowEnd =
-                request.attempts.mayHaveRunSince() + requestClass.deduplicationWindowMicros();
+                request.attempts.mayHaveRunSinceMicros() + requestClass.deduplicationWindowMicros();
         return allInvokersDeduplicate && retryAtMicros < windowEnd;
     }
 }
--- a/src/main/java/waytrestle/requests/SendGuard.java
+++ b/src/main/java/waytrestle/requests/SendGuard.java
@@ -50,16 +50,16 @@
      * @param attempt its number within the request
      * @param zone of its invoker
      * @param cell of its invoker
-     * @param readinessKnown whether the invoker's readiness was confirmed lately enough
+     * @param readinessLeaseValid whether the invoker's readiness was confirmed lately enough
      */
     public record SendIntent(
             RequestClass requestClass,
             int attempt,
             int zone,
             int cell,
-            boolean clientWaits,
+            boolean clientIsWaiting,
             boolean invokerReady,
-            boolean readinessKnown,
+            boolean readinessLeaseValid,
             long nowMicros) {}
 
     /** In place of an attempt's number: all of them are looked at. */
@@ -68,10 +68,10 @@
     private final Map<Refusal, Long> counts = new EnumMap<>(Refusal.class);
 
     /** Why the attempt may not be written, or null: then it counts as sent from now on. */
-    public Refusal refusal(SendHistory history, SendIntent intent) {
+    public Refusal checkSend(SendHistory history, SendIntent intent) {
         Refusal refusal = reasonAgainst(history, intent);
         if (refusal == null) {
-            history.passed(intent);
+            history.recordSent(intent);
         } else {
             count(refusal);
         }
@@ -79,16 +79,16 @@
     }
 
     private static Refusal reasonAgainst(SendHistory history, SendIntent intent) {
-        if (!intent.clientWaits()) {
+        if (!intent.clientIsWaiting()) {
             return Refusal.CLIENT_GONE;
         }
         if (!intent.invokerReady()) {
             return Refusal.INVOKER_NOT_READY;
         }
-        if (!intent.readinessKnown()) {
+        if (!intent.readinessLeaseValid()) {
             return Refusal.READINESS_EXPIRED;
         }
-        SendHistory.Sent other = history.firstThatMayHaveRun(intent.attempt());
+        SendHistory.SentAttempt other = history.firstThatMayHaveRun(intent.attempt());
         if (other == null) {
             return null;
         }
@@ -99,9 +99,9 @@
         };
     }
 
-    private static Refusal reasonAgainstKeyed(SendHistory.Sent other, SendIntent intent) {
+    private static Refusal reasonAgainstKeyed(SendHistory.SentAttempt other, SendIntent intent) {
         RequestClass requestClass = intent.requestClass();
-        long windowEnd = other.passedAtMicros + requestClass.deduplicationWindowMicros();
+        long windowEnd = other.sentAtMicros + requestClass.deduplicationWindowMicros();
         if (intent.nowMicros() > windowEnd) {
             return Refusal.WINDOW_PASSED;
         }
@@ -120,7 +120,7 @@
      * @param invokerReady whether the invoker has not stopped being ready since the decision
      * @param readinessKnown whether its readiness was confirmed lately enough
      */
-    public Refusal preloadRefusal(boolean invokerReady, boolean readinessKnown) {
+    public Refusal checkPreload(boolean invokerReady, boolean readinessKnown) {
         if (invokerReady && readinessKnown) {
             return null;
         }
--- a/src/main/java/waytrestle/requests/SendHistory.java
+++ b/src/main/java/waytrestle/requests/SendHistory.java
@@ -13,39 +13,41 @@
  */
 public final class SendHistory {
     /** An attempt that was let pass; until its end it may run. */
-    static final class Sent {
+    static final class SentAttempt {
         final int number;
         final int zone;
         final int cell;
-        final long passedAtMicros;
+        final long sentAtMicros;
         private boolean provedNotRun;
 
-        private Sent(int number, int zone, int cell, long passedAtMicros) {
+        private SentAttempt(int number, int zone, int cell, long sentAtMicros) {
             this.number = number;
             this.zone = zone;
             this.cell = cell;
-            this.passedAtMicros = passedAtMicros;
+            this.sentAtMicros = sentAtMicros;
         }
     }
 
     /** Attempts that most requests have, at most. */
     private static final int USUAL_ATTEMPTS = 2;
 
-    private final List<Sent> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<SentAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
 
     /** Notes an attempt that passes; one that asks again for a further connection is noted once. */
-    void passed(SendGuard.SendIntent intent) {
-        for (Sent sent : attempts) {
+    void recordSent(SendGuard.SendIntent intent) {
+        for (SentAttempt sent : attempts) {
             if (sent.number == intent.attempt()) {
                 return;
             }
         }
-        attempts.add(new Sent(intent.attempt(), intent.zone(), intent.cell(), intent.nowMicros()));
+        attempts.add(
+                new SentAttempt(
+                        intent.attempt(), intent.zone(), intent.cell(), intent.nowMicros()));
     }
 
     /** Notes how an attempt has ended; nothing where it was never let pass. */
-    public void ended(int attempt, ResponseCode code) {
-        for (Sent sent : attempts) {
+    public void recordEnd(int attempt, ResponseCode code) {
+        for (SentAttempt sent : attempts) {
             if (sent.number == attempt && code.provesNotRun()) {
                 sent.provedNotRun = true;
             }
@@ -53,8 +55,8 @@
     }
 
     /** The first other attempt that may have run or may still run, or null if there is none. */
-    Sent firstThatMayHaveRun(int otherThan) {
-        for (Sent sent : attempts) {
+    SentAttempt firstThatMayHaveRun(int otherThan) {
+        for (SentAttempt sent : attempts) {
             if (sent.number != otherThan && !sent.provedNotRun) {
                 return sent;
             }
--- a/src/test/java/waytrestle/requests/AttemptLogTest.java
+++ b/src/test/java/waytrestle/requests/AttemptLogTest.java
@@ -19,41 +19,41 @@
 
     @Test
     void functionMayRunWhileAnAttemptIsInFlight() {
-        attempts.forwarded(0, 100);
-        attempts.sent(0);
-        assertEquals(100, attempts.mayHaveRunSince());
+        attempts.recordForwarded(0, 100);
+        attempts.recordSent(0);
+        assertEquals(100, attempts.mayHaveRunSinceMicros());
         assertTrue(attempts.anyMayStillRun());
     }
 
     @Test
     void functionHasNotRunWhileItsAttemptsWaitForTheirConnections() {
-        attempts.forwarded(0, 100);
+        attempts.recordForwarded(0, 100);
         assertFalse(attempts.mayHaveRun());
-        attempts.sent(0);
-        attempts.waiting(0);
+        attempts.recordSent(0);
+        attempts.recordWaiting(0);
         assertFalse(attempts.mayHaveRun());
         assertTrue(attempts.anyInFlight());
     }
 
     @Test
     void functionHasNotRunAfterAttemptsThatProveIt() {
-        attempts.forwarded(0, 100);
-        attempts.failed(0, ResponseCode.FULL, null);
+        attempts.recordForwarded(0, 100);
+        attempts.recordFailure(0, ResponseCode.FULL, null);
         assertFalse(attempts.mayHaveRun());
     }
 
     @Test
     void functionMayHaveRunSinceTheEarliestAttemptWithoutProof() {
-        attempts.forwarded(0, 100);
-        attempts.forwarded(1, 200);
-        attempts.failed(1, ResponseCode.RESET, null);
-        attempts.failed(0, ResponseCode.TIMEOUT, null);
-        assertEquals(100, attempts.mayHaveRunSince());
+        attempts.recordForwarded(0, 100);
+        attempts.recordForwarded(1, 200);
+        attempts.recordFailure(1, ResponseCode.RESET, null);
+        attempts.recordFailure(0, ResponseCode.TIMEOUT, null);
+        assertEquals(100, attempts.mayHaveRunSinceMicros());
     }
 
     @Test
     void attemptThatWasNeverForwardedIsNotInFlight() {
-        attempts.forwarded(2, 100);
+        attempts.recordForwarded(2, 100);
         assertFalse(attempts.isInFlight(0));
         assertTrue(attempts.isInFlight(2));
         assertFalse(attempts.isInFlight(3));
@@ -61,9 +61,9 @@
 
     @Test
     void attemptThatWasNotSentKeepsTheResponseBeforeIt() {
-        attempts.forwarded(0, 100);
-        attempts.responseReceived(ResponseCode.FULL, "503");
-        attempts.responseReceived(ResponseCode.NOT_SENT, "withheld");
+        attempts.recordForwarded(0, 100);
+        attempts.recordResponse(ResponseCode.FULL, "503");
+        attempts.recordResponse(ResponseCode.NOT_SENT, "withheld");
         assertEquals(new AttemptSummary(1, "503"), attempts.summary());
         assertEquals(ResponseCode.NOT_SENT, attempts.lastCode());
     }
--- a/src/test/java/waytrestle/requests/IdempotencyStoreTest.java
+++ b/src/test/java/waytrestle/requests/IdempotencyStoreTest.java
@@ -204,8 +204,8 @@
             completed("idempotent" + i, Idempotency.IDEMPOTENT, responseOf(1_000), now);
         }
         assertTrue(
-                store.size() <= MAX_ENTRIES && store.outcomesHeld() <= MAX_ENTRIES,
-                store.size() + " entries, " + store.outcomesHeld() + " outcomes");
+                store.size() <= MAX_ENTRIES && store.completedEntries() <= MAX_ENTRIES,
+                store.size() + " entries, " + store.completedEntries() + " outcomes");
     }
 
     @Test
--- a/src/test/java/waytrestle/requests/PendingRequestsFixture.java
+++ b/src/test/java/waytrestle/requests/PendingRequestsFixture.java
@@ -44,7 +44,7 @@
                         true);
     }
 
-    static RequestClass classOf(Idempotency idempotency, DeduplicationScope scope) {
+    static RequestClass requestClassOf(Idempotency idempotency, DeduplicationScope scope) {
         return new RequestClass(
                 idempotency.name(),
                 idempotency,
@@ -83,20 +83,20 @@
     }
 
     /** The number of a new request with three seconds left. */
-    long start(long clientId, int requestClass, String key) {
+    long startRequest(long clientId, int requestClass, String key) {
         arrive(clientId, requestClass, key, 3 * MICROS_PER_SECOND);
-        return only(StartRequest.class).requestId();
+        return onlyCommand(StartRequest.class).requestId();
     }
 
     /** The one command of this type that the last event led to. */
-    <T extends Command> T only(Class<T> type) {
+    <T extends Command> T onlyCommand(Class<T> type) {
         List<T> found = commands.stream().filter(type::isInstance).map(type::cast).toList();
         assertEquals(1, found.size(), "of " + type.getSimpleName() + " in " + commands);
         return found.get(0);
     }
 
     /** What the last event responded to the client, null without a response. */
-    RequestOutcome outcomeOf(long clientId) {
+    RequestOutcome outcomeSentTo(long clientId) {
         for (Command command : commands) {
             if (command instanceof RespondToClient response && response.clientId() == clientId) {
                 return response.outcome();
--- a/src/test/java/waytrestle/requests/PendingRequestsTest.java
+++ b/src/test/java/waytrestle/requests/PendingRequestsTest.java
@@ -42,9 +42,11 @@
     private final PendingRequestsFixture fixture =
             new PendingRequestsFixture(
                     3,
-                    PendingRequestsFixture.classOf(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-                    PendingRequestsFixture.classOf(Idempotency.KEYED, DeduplicationScope.CELL),
-                    PendingRequestsFixture.classOf(
+                    PendingRequestsFixture.requestClassOf(
+                            Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                    PendingRequestsFixture.requestClassOf(
+                            Idempotency.KEYED, DeduplicationScope.CELL),
+                    PendingRequestsFixture.requestClassOf(
                             Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
 
     private void serve(long requestId) {
@@ -55,50 +57,50 @@
 
     @Test
     void repeatJoinsTheRequestInFlightAndBothClientsGetItsOutcome() {
-        long requestId = fixture.start(1, NON_IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.arrive(2, NON_IDEMPOTENT, "a", 3 * SECOND);
         assertTrue(fixture.commands().stream().noneMatch(StartRequest.class::isInstance));
         serve(requestId);
-        assertEquals(RESPONSE, fixture.outcomeOf(1));
-        assertEquals(RESPONSE, fixture.outcomeOf(2));
+        assertEquals(RESPONSE, fixture.outcomeSentTo(1));
+        assertEquals(RESPONSE, fixture.outcomeSentTo(2));
         fixture.arrive(3, NON_IDEMPOTENT, "a", SECOND);
-        assertEquals(RESPONSE, fixture.outcomeOf(3), "the outcome is given again");
+        assertEquals(RESPONSE, fixture.outcomeSentTo(3), "the outcome is given again");
     }
 
     @Test
     void joinedClientWithLessTimeIsNotifiedThatTheRequestIsStillInFlight() {
-        long requestId = fixture.start(1, NON_IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.arrive(2, NON_IDEMPOTENT, "a", SECOND);
-        long afterMicros = fixture.only(SetDeadlineTimer.class).afterMicros();
+        long afterMicros = fixture.onlyCommand(SetDeadlineTimer.class).afterMicros();
         assertTrue(afterMicros < SECOND);
         fixture.now += afterMicros;
         fixture.handle(new DeadlineExpired(2));
-        assertEquals(new Failed(Reason.STILL_IN_FLIGHT, true), fixture.outcomeOf(2));
+        assertEquals(new Failed(Reason.STILL_IN_FLIGHT, true), fixture.outcomeSentTo(2));
         serve(requestId);
-        assertEquals(RESPONSE, fixture.outcomeOf(1));
-        assertNull(fixture.outcomeOf(2), "nothing after a response");
+        assertEquals(RESPONSE, fixture.outcomeSentTo(1));
+        assertNull(fixture.outcomeSentTo(2), "nothing after a response");
     }
 
     @Test
     void requestThatArrivesWithoutTimeLeftIsRejectedBeforeAnyAttempt() {
         fixture.arrive(1, NON_IDEMPOTENT, "a", TICK);
-        assertEquals(new Rejected(Reason.NO_FINISH_IN_TIME, 0), fixture.outcomeOf(1));
+        assertEquals(new Rejected(Reason.NO_FINISH_IN_TIME, 0), fixture.outcomeSentTo(1));
     }
 
     @Test
     void repeatThatArrivesWithoutTimeLeftIsNotifiedThatTheRequestIsStillInFlight() {
-        fixture.start(2, NON_IDEMPOTENT, "a");
+        fixture.startRequest(2, NON_IDEMPOTENT, "a");
         fixture.arrive(3, NON_IDEMPOTENT, "a", -5);
-        assertEquals(new Failed(Reason.STILL_IN_FLIGHT, true), fixture.outcomeOf(3));
+        assertEquals(new Failed(Reason.STILL_IN_FLIGHT, true), fixture.outcomeSentTo(3));
     }
 
     @Test
     void requestIsAbandonedOnlyWhenTheLastOfItsClientsHasLeft() {
-        long requestId = fixture.start(1, IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, IDEMPOTENT, "a");
         fixture.arrive(2, IDEMPOTENT, "a", 3 * SECOND);
         assertEquals(List.of(), fixture.handle(new ClientDisconnected(1)));
         fixture.handle(new ClientDisconnected(2));
-        assertEquals(requestId, fixture.only(AbandonRequest.class).requestId());
+        assertEquals(requestId, fixture.onlyCommand(AbandonRequest.class).requestId());
         assertEquals(0, fixture.pending.inFlight());
         assertEquals(0, fixture.pending.waitingClients());
     }
@@ -106,15 +108,15 @@
     /** It was remembered as one that may have run, and its repeat failed with "abandoned". */
     @Test
     void repeatOfARequestWhoseClientLeftBeforeItsAttemptWasSentIsANewRequest() {
-        long first = fixture.start(1, NON_IDEMPOTENT, "a");
+        long first = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.handle(new AttemptForwarded(first, 0));
         fixture.handle(new ClientDisconnected(1));
-        assertTrue(fixture.start(2, NON_IDEMPOTENT, "a") > first);
+        assertTrue(fixture.startRequest(2, NON_IDEMPOTENT, "a") > first);
     }
 
     @Test
     void repeatOfARequestWhoseClientLeftAfterItsAttemptWasSentDoesNotRun() {
-        long requestId = fixture.start(1, NON_IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.handle(new AttemptForwarded(requestId, 0));
         fixture.handle(new AttemptSent(requestId, 0));
         fixture.handle(new ClientDisconnected(1));
@@ -152,14 +154,14 @@
     /** The code of the only attempt, null while that is in flight. */
     private RequestOutcome outcomeOfRejectionAfter(Idempotency idempotency, ResponseCode code) {
         String key = "key " + idempotency + " " + code;
-        long requestId = fixture.start(10, idempotency.ordinal(), key);
+        long requestId = fixture.startRequest(10, idempotency.ordinal(), key);
         fixture.handle(new AttemptForwarded(requestId, 0));
         fixture.handle(new AttemptSent(requestId, 0));
         if (code != null) {
             fixture.handle(new AttemptCompleted(requestId, 0, code, null, false, "x"));
         }
         fixture.handle(new SchedulerRejectedRequest(requestId, 500, 9 * SECOND));
-        return fixture.outcomeOf(10);
+        return fixture.outcomeSentTo(10);
     }
 
     /** Within it, invokers drop duplicates of what may have run. */
@@ -180,37 +182,38 @@
         PendingRequestsFixture allDeduplicate =
                 new PendingRequestsFixture(
                         9,
-                        PendingRequestsFixture.classOf(Idempotency.KEYED, DeduplicationScope.ALL));
-        long requestId = allDeduplicate.start(1, 0, null);
+                        PendingRequestsFixture.requestClassOf(
+                                Idempotency.KEYED, DeduplicationScope.ALL));
+        long requestId = allDeduplicate.startRequest(1, 0, null);
         allDeduplicate.handle(new AttemptForwarded(requestId, 0));
         allDeduplicate.handle(new AttemptSent(requestId, 0));
         allDeduplicate.now += micros;
         allDeduplicate.handle(new SchedulerRejectedRequest(requestId, 0, -1));
-        return allDeduplicate.outcomeOf(1);
+        return allDeduplicate.outcomeSentTo(1);
     }
 
     @Test
     void requestThatTheSchedulerDidNotEndFailsJustBeforeItsDeadline() {
-        long requestId = fixture.start(1, NON_IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.handle(new AttemptForwarded(requestId, 0));
         fixture.handle(new AttemptSent(requestId, 0));
         fixture.now += 3 * SECOND - TICK / 2;
         fixture.handle(new DeadlineExpired(1));
-        assertEquals(failedAfter("", Reason.DEADLINE_EXCEEDED), fixture.outcomeOf(1));
-        assertEquals(requestId, fixture.only(AbandonRequest.class).requestId());
+        assertEquals(failedAfter("", Reason.DEADLINE_EXCEEDED), fixture.outcomeSentTo(1));
+        assertEquals(requestId, fixture.onlyCommand(AbandonRequest.class).requestId());
     }
 
     private void startAsManyAsAreAdmitted() {
-        fixture.start(1, IDEMPOTENT, "a");
-        fixture.start(2, IDEMPOTENT, "b");
-        fixture.start(3, IDEMPOTENT, "c");
+        fixture.startRequest(1, IDEMPOTENT, "a");
+        fixture.startRequest(2, IDEMPOTENT, "b");
+        fixture.startRequest(3, IDEMPOTENT, "c");
     }
 
     @Test
     void requestBeyondTheMaximumInFlightIsRejected() {
         startAsManyAsAreAdmitted();
         fixture.arrive(4, IDEMPOTENT, "d", SECOND);
-        assertEquals(new Rejected(Reason.TOO_MANY_IN_FLIGHT, 0), fixture.outcomeOf(4));
+        assertEquals(new Rejected(Reason.TOO_MANY_IN_FLIGHT, 0), fixture.outcomeSentTo(4));
     }
 
     @Test
@@ -218,9 +221,9 @@
         startAsManyAsAreAdmitted();
         fixture.handle(new ShutdownStarted());
         fixture.arrive(5, IDEMPOTENT, "a", SECOND);
-        assertNull(fixture.outcomeOf(5));
+        assertNull(fixture.outcomeSentTo(5));
         fixture.arrive(6, IDEMPOTENT, "e", SECOND);
-        assertEquals(new Rejected(Reason.SHUTTING_DOWN, 0), fixture.outcomeOf(6));
+        assertEquals(new Rejected(Reason.SHUTTING_DOWN, 0), fixture.outcomeSentTo(6));
     }
 
     @Test
@@ -236,18 +239,18 @@
 
     @Test
     void requestFailsAtOnceWhenTheSchedulerThrows() {
-        long requestId = fixture.start(1, NON_IDEMPOTENT, "a");
+        long requestId = fixture.startRequest(1, NON_IDEMPOTENT, "a");
         fixture.handle(new SchedulerThrew(requestId));
-        assertEquals(new Failed(Reason.INTERNAL_ERROR, false), fixture.outcomeOf(1));
+        assertEquals(new Failed(Reason.INTERNAL_ERROR, false), fixture.outcomeSentTo(1));
     }
 
     /** Whatever events come in whatever order. */
     @Property(tries = 300, seed = "42")
     void everyClientGetsOneResponseBeforeItsDeadlineUnlessItLeft(@ForAll long seed) {
         RandomEventRun run = new RandomEventRun(fixture, seed);
-        run.play(120);
+        run.run(120);
         for (long client : run.clients()) {
-            assertTrue(run.isAnsweredOrLeft(client), "no response to client " + client);
+            assertTrue(run.hasResponseOrDisconnected(client), "no response to client " + client);
         }
         assertEquals(0, fixture.pending.inFlight());
     }
--- a/src/test/java/waytrestle/requests/RandomEventRun.java
+++ b/src/test/java/waytrestle/requests/RandomEventRun.java
@@ -55,7 +55,7 @@
     }
 
     /** Draws so many events, then lets all timers expire. */
-    void play(int steps) {
+    void run(int steps) {
         for (int step = 0; step < steps || !timers.isEmpty(); step++) {
             long next = fixture.now + random.nextInt(MAX_STEP_MICROS);
             boolean drawn = step < steps;
@@ -74,7 +74,7 @@
         return deadlines.keySet();
     }
 
-    boolean isAnsweredOrLeft(long clientId) {
+    boolean hasResponseOrDisconnected(long clientId) {
         return responses.containsKey(clientId) || disconnected.contains(clientId);
     }
 
--- a/src/test/java/waytrestle/requests/ReasonSelectorTest.java
+++ b/src/test/java/waytrestle/requests/ReasonSelectorTest.java
@@ -20,12 +20,13 @@
             new PendingRequest(
                     1,
                     DEADLINE,
-                    PendingRequestsFixture.classOf(Idempotency.KEYED, DeduplicationScope.ALL),
+                    PendingRequestsFixture.requestClassOf(
+                            Idempotency.KEYED, DeduplicationScope.ALL),
                     null);
 
     private Reason afterAttempt(ResponseCode code, String responseText) {
         AttemptLog attempts = new AttemptLog();
-        attempts.responseReceived(code, responseText);
+        attempts.recordResponse(code, responseText);
         return reasons.ofLastAttempt(attempts);
     }
 
@@ -58,7 +59,7 @@
 
     @Test
     void rejectionWithoutAnEstimateWhileAnAttemptIsInFlightExceedsTheDeadline() {
-        request.attempts.forwarded(0, 100);
+        request.attempts.recordForwarded(0, 100);
         SchedulerRejectedRequest rejection = new SchedulerRejectedRequest(1, 0, -1);
         assertEquals(
                 Reason.DEADLINE_EXCEEDED, reasons.ofSchedulerRejection(request, rejection, 500));
--- a/src/test/java/waytrestle/requests/SendGuardTest.java
+++ b/src/test/java/waytrestle/requests/SendGuardTest.java
@@ -31,7 +31,7 @@
     }
 
     private Refusal send(RequestClass requestClass, int attempt, int zone, long nowMicros) {
-        return guard.refusal(
+        return guard.checkSend(
                 history,
                 new SendIntent(requestClass, attempt, zone, 0, true, true, true, nowMicros));
     }
@@ -41,9 +41,9 @@
         assertNull(send(UNSAFE, 0, 0, 1));
         assertNull(send(UNSAFE, 0, 0, 2), "the same attempt on another connection");
         assertEquals(Refusal.MAY_HAVE_RUN, send(UNSAFE, 1, 0, 3), "the first is still out");
-        history.ended(0, ResponseCode.FULL);
+        history.recordEnd(0, ResponseCode.FULL);
         assertNull(send(UNSAFE, 1, 0, 4));
-        history.ended(1, ResponseCode.RESET);
+        history.recordEnd(1, ResponseCode.RESET);
         assertEquals(Refusal.MAY_HAVE_RUN, send(UNSAFE, 2, 0, 5));
         assertEquals(2, guard.violations());
     }
@@ -52,7 +52,7 @@
     void aSafeRequestIsSentAgainWhateverRan() {
         assertNull(send(SAFE, 0, 0, 1));
         assertNull(send(SAFE, 1, 1, 2));
-        history.ended(0, ResponseCode.TIMEOUT);
+        history.recordEnd(0, ResponseCode.TIMEOUT);
         assertNull(send(SAFE, 2, 0, 3));
         assertTrue(guard.mayReject(history, SAFE));
     }
@@ -69,8 +69,8 @@
     void nothingIsSentForAClientThatHasGoneOrToAnInvokerThatLeft() {
         SendIntent gone = new SendIntent(SAFE, 0, 0, 0, false, true, true, 1);
         SendIntent left = new SendIntent(SAFE, 0, 0, 0, true, false, true, 1);
-        assertEquals(Refusal.CLIENT_GONE, guard.refusal(history, gone));
-        assertEquals(Refusal.INVOKER_NOT_READY, guard.refusal(history, left));
+        assertEquals(Refusal.CLIENT_GONE, guard.checkSend(history, gone));
+        assertEquals(Refusal.INVOKER_NOT_READY, guard.checkSend(history, left));
         assertEquals(0, guard.violations(), "that is how it is meant to end");
         assertNull(history.firstThatMayHaveRun(-1), "nothing was sent");
     }
@@ -78,10 +78,10 @@
     @Test
     void nothingIsSentToAnInvokerWhoseReadinessIsNoLongerKnown() {
         SendIntent outdated = new SendIntent(SAFE, 0, 0, 0, true, true, false, 1);
-        assertEquals(Refusal.READINESS_EXPIRED, guard.refusal(history, outdated));
-        assertEquals(Refusal.READINESS_EXPIRED, guard.preloadRefusal(true, false));
-        assertEquals(Refusal.INVOKER_NOT_READY, guard.preloadRefusal(false, false));
-        assertNull(guard.preloadRefusal(true, true));
+        assertEquals(Refusal.READINESS_EXPIRED, guard.checkSend(history, outdated));
+        assertEquals(Refusal.READINESS_EXPIRED, guard.checkPreload(true, false));
+        assertEquals(Refusal.INVOKER_NOT_READY, guard.checkPreload(false, false));
+        assertNull(guard.checkPreload(true, true));
         assertEquals(2, guard.counts().get(Refusal.READINESS_EXPIRED));
     }
 
@@ -90,7 +90,7 @@
         assertTrue(guard.mayReject(history, UNSAFE));
         assertNull(send(UNSAFE, 0, 0, 1));
         assertFalse(guard.mayReject(history, UNSAFE), "it may still run");
-        history.ended(0, ResponseCode.NOT_LOADED);
+        history.recordEnd(0, ResponseCode.NOT_LOADED);
         assertTrue(guard.mayReject(history, UNSAFE));
         assertEquals(1, guard.counts().get(Refusal.REJECTED_AFTER_EFFECT));
     }
