--- a/src/main/java/waytrestle/Bytes.java
+++ b/src/main/java/waytrestle/Bytes.java
@@ -117,12 +117,12 @@
         private int segment, offset;
         private long at;
 
-        public long left() {
+        public long remaining() {
             return size - at;
         }
 
         public void skip(long n) {
-            if (n < 0 || n > left()) {
+            if (n < 0 || n > remaining()) {
                 throw new IndexOutOfBoundsException("past the end");
             }
             at += n;
@@ -138,7 +138,7 @@
         }
 
         /** The next four bytes as a little-endian number. */
-        public int littleEndian() {
+        public int readLittleEndianInt() {
             int value = 0;
             for (int i = 0; i < 4; i++) {
                 Segment s = segments.get(segment);
--- a/src/main/java/waytrestle/config/GatewayConfig.java
+++ b/src/main/java/waytrestle/config/GatewayConfig.java
@@ -55,7 +55,7 @@
         long stopGraceMicros,
         Faults faults,
         OverloadControl.Settings overload,
-        List<TenantQuotas.Limit> bounds,
+        List<TenantQuotas.TenantLimits> bounds,
         Edge edge,
         Kserve kserve,
         HealthTrackingClassifier.Settings outcomes,
@@ -153,7 +153,7 @@
         }
         List<Tenant> tenants = new ArrayList<>();
         List<String> tenantNames = new ArrayList<>();
-        List<TenantQuotas.Limit> bounds = new ArrayList<>();
+        List<TenantQuotas.TenantLimits> bounds = new ArrayList<>();
         for (Section t : root.each("tenant")) {
             unique(t, t.text("name"), tenantNames);
             tenants.add(
@@ -162,7 +162,7 @@
                             t.number("share", 0, 1),
                             t.number("quota_per_s", 0, 1e9)));
             bounds.add(
-                    new TenantQuotas.Limit(
+                    new TenantQuotas.TenantLimits(
                             t.number("max_per_s", 0, 1e9, 0),
                             (int) t.whole("max_open", 0, 1_000_000, 0)));
         }
--- a/src/main/java/waytrestle/forecast/Forecaster.java
+++ b/src/main/java/waytrestle/forecast/Forecaster.java
@@ -9,23 +9,23 @@
      * A range in which the count is expected to lie four times of five, and the middle; unknown
      * when nothing is said.
      */
-    record Range(double low, double middle, double high, boolean known) {
-        public static final Range UNKNOWN = new Range(0, 0, 0, false);
+    record PredictionInterval(double low, double median, double high, boolean known) {
+        public static final PredictionInterval UNKNOWN = new PredictionInterval(0, 0, 0, false);
     }
 
     /** A bucket has passed with so many calls. */
-    void observed(long bucket, double calls);
+    void observe(long bucket, double calls);
 
     /** What a later bucket is expected to bring. */
-    Range forecast(long bucket);
+    PredictionInterval forecast(long bucket);
 
     /**
      * The pinball loss of a range against what came, over its three quantiles of 0.1, 0.5 and 0.9:
      * less is better.
      */
-    static double pinball(Range range, double came) {
+    static double pinballLoss(PredictionInterval range, double came) {
         return (loss(0.1, range.low(), came)
-                        + loss(0.5, range.middle(), came)
+                        + loss(0.5, range.median(), came)
                         + loss(0.9, range.high(), came))
                 / 3;
     }
--- a/src/main/java/waytrestle/forecast/Chosen.java
+++ b/src/main/java/waytrestle/forecast/LeastLossForecaster.java
@@ -7,7 +7,7 @@
  * said while none of them knows. Guards against a method that suits another history: functions
  * differ, and one may change its habit.
  */
-public final class Chosen implements Forecaster {
+public final class LeastLossForecaster implements Forecaster {
     // ---- Tuned numbers. ----
     private static final double NEWS =
             0.01; // weight of a bucket's loss: some hundred count, so that chance does not choose
@@ -16,36 +16,36 @@
     private final double[] loss;
     private final boolean[] judged;
 
-    public Chosen(List<Forecaster> methods) {
+    public LeastLossForecaster(List<Forecaster> methods) {
         this.methods = List.copyOf(methods);
         this.loss = new double[methods.size()];
         this.judged = new boolean[methods.size()];
     }
 
     /** All methods that there are. */
-    public static Chosen of(Season season) {
-        return new Chosen(
+    public static LeastLossForecaster ofAllMethods(SeasonalCalendar season) {
+        return new LeastLossForecaster(
                 List.of(
                         new SeasonalNaive(season),
-                        new Smoothed(season),
-                        new ProfileAndLevel(season)));
+                        new SeasonalSmoothing(season),
+                        new ScaledSeasonalMedian(season)));
     }
 
     @Override
-    public void observed(long bucket, double calls) {
+    public void observe(long bucket, double calls) {
         for (int i = 0; i < loss.length; i++) {
-            Range told = methods.get(i).forecast(bucket);
+            PredictionInterval told = methods.get(i).forecast(bucket);
             if (told.known()) {
-                double lost = Forecaster.pinball(told, calls);
+                double lost = Forecaster.pinballLoss(told, calls);
                 loss[i] = judged[i] ? loss[i] + NEWS * (lost - loss[i]) : lost;
                 judged[i] = true;
             }
-            methods.get(i).observed(bucket, calls);
+            methods.get(i).observe(bucket, calls);
         }
     }
 
     /** The place of the method believed now; -1 for none. */
-    public int chosen() {
+    public int selectedMethodIndex() {
         int best = -1;
         for (int i = 0; i < loss.length; i++) {
             if (judged[i] && (best < 0 || loss[i] < loss[best])) {
@@ -56,9 +56,10 @@
     }
 
     @Override
-    public Range forecast(long bucket) {
-        int best = chosen();
-        Range told = best < 0 ? Range.UNKNOWN : methods.get(best).forecast(bucket);
+    public PredictionInterval forecast(long bucket) {
+        int best = selectedMethodIndex();
+        PredictionInterval told =
+                best < 0 ? PredictionInterval.UNKNOWN : methods.get(best).forecast(bucket);
         for (int i = 0; i < loss.length && !told.known(); i++) {
             told = judged[i] ? methods.get(i).forecast(bucket) : told;
         }
--- a/src/main/java/waytrestle/forecast/ProfileAndLevel.java
+++ b/src/main/java/waytrestle/forecast/ScaledSeasonalMedian.java
@@ -8,7 +8,7 @@
  * The range is taken from what the slot and its neighbours have missed by, so that a rush whose
  * start wanders by a bucket is told as a wide range there.
  */
-public final class ProfileAndLevel implements Forecaster {
+public final class ScaledSeasonalMedian implements Forecaster {
     // ---- Tuned numbers. ----
     private static final int WEEKS = 6; // of a slot that are kept: a season's habit, not a year's
     private static final int LEAST = 2; // weeks before anything is said
@@ -19,22 +19,22 @@
     private static final double WIDEN =
             1.15; // of the spread told: the quantiles of few weeks are too narrow
 
-    private final Season season;
+    private final SeasonalCalendar season;
     private final double[][] weeks;
     private final int[] filled;
     private double scale = 1;
     private long scaleDay = Long.MIN_VALUE;
 
-    public ProfileAndLevel(Season season) {
+    public ScaledSeasonalMedian(SeasonalCalendar season) {
         this.season = season;
-        this.weeks = new double[season.slots()][];
-        this.filled = new int[season.slots()];
+        this.weeks = new double[season.slotCount()][];
+        this.filled = new int[season.slotCount()];
     }
 
     @Override
-    public void observed(long bucket, double calls) {
+    public void observe(long bucket, double calls) {
         int slot = season.slot(bucket);
-        long day = Math.floorDiv(bucket, (long) season.slotsOfDay());
+        long day = Math.floorDiv(bucket, (long) season.slotsPerDay());
         if (day != scaleDay) {
             scale = 1 + (scale - 1) / 2; // half of yesterday's mood lasts
             scaleDay = day;
@@ -62,10 +62,10 @@
     }
 
     @Override
-    public Range forecast(long bucket) {
+    public PredictionInterval forecast(long bucket) {
         int slot = season.slot(bucket);
         if (filled[slot] < LEAST) {
-            return Range.UNKNOWN;
+            return PredictionInterval.UNKNOWN;
         }
         double middle = quantile(slot, 0.5) * scale;
         double low = middle;
@@ -83,7 +83,7 @@
                 1.28 * Math.sqrt(middle + 0.25); // counts vary by chance alone at least so much
         low = Math.min(low, middle - chance);
         high = Math.max(high, middle + chance);
-        return new Range(
+        return new PredictionInterval(
                 Math.max(0, middle - WIDEN * (middle - low)),
                 middle,
                 middle + WIDEN * (high - middle),
--- a/src/main/java/waytrestle/forecast/Season.java
+++ b/src/main/java/waytrestle/forecast/SeasonalCalendar.java
@@ -7,17 +7,17 @@
  * the day under that kind of day. Times are Unix seconds of one zone's local time; the calendar
  * comes from the settings.
  */
-public final class Season {
+public final class SeasonalCalendar {
     /** Days that run unlike their weekday: quarter-ends, holidays; days counted from 1970-01-01. */
-    public record Special(String kind, List<Long> days) {}
+    public record SpecialDays(String kind, List<Long> days) {}
 
-    public static final long DAY = 86_400;
+    public static final long SECONDS_PER_DAY = 86_400;
 
     private final long bucketSeconds;
-    private final List<Special> specials;
+    private final List<SpecialDays> specials;
 
-    public Season(long bucketSeconds, List<Special> specials) {
-        if (bucketSeconds <= 0 || DAY % bucketSeconds != 0) {
+    public SeasonalCalendar(long bucketSeconds, List<SpecialDays> specials) {
+        if (bucketSeconds <= 0 || SECONDS_PER_DAY % bucketSeconds != 0) {
             throw new IllegalArgumentException(
                     "a day must hold a whole number of buckets, not of " + bucketSeconds + " s");
         }
@@ -29,25 +29,25 @@
         return bucketSeconds;
     }
 
-    public int slotsOfDay() {
-        return (int) (DAY / bucketSeconds);
+    public int slotsPerDay() {
+        return (int) (SECONDS_PER_DAY / bucketSeconds);
     }
 
     /** Slots in all: those of a week, then those of a day for each kind of special day. */
-    public int slots() {
-        return slotsOfDay() * (7 + specials.size());
+    public int slotCount() {
+        return slotsPerDay() * (7 + specials.size());
     }
 
     /** The slot of a bucket, by its number since 1970. */
     public int slot(long bucket) {
-        long day = Math.floorDiv(bucket * bucketSeconds, DAY);
-        int ofDay = (int) Math.floorMod(bucket, (long) slotsOfDay());
+        long day = Math.floorDiv(bucket * bucketSeconds, SECONDS_PER_DAY);
+        int ofDay = (int) Math.floorMod(bucket, (long) slotsPerDay());
         for (int i = 0; i < specials.size(); i++) {
             if (specials.get(i).days().contains(day)) {
-                return slotsOfDay() * (7 + i) + ofDay;
+                return slotsPerDay() * (7 + i) + ofDay;
             }
         }
-        return slotsOfDay() * (int) Math.floorMod(day + 3, 7L)
+        return slotsPerDay() * (int) Math.floorMod(day + 3, 7L)
                 + ofDay; // 1970-01-01 was a Thursday; Monday is 0
     }
 }
--- a/src/main/java/waytrestle/forecast/SeasonalNaive.java
+++ b/src/main/java/waytrestle/forecast/SeasonalNaive.java
@@ -10,18 +10,18 @@
     private static final double WIDE =
             1.28; // usual misses to each side: four of five, were they normal
 
-    private final Season season;
+    private final SeasonalCalendar season;
     private final double[] last;
     private double miss = -1;
 
-    public SeasonalNaive(Season season) {
+    public SeasonalNaive(SeasonalCalendar season) {
         this.season = season;
-        this.last = new double[season.slots()];
+        this.last = new double[season.slotCount()];
         Arrays.fill(last, Double.NaN);
     }
 
     @Override
-    public void observed(long bucket, double calls) {
+    public void observe(long bucket, double calls) {
         int slot = season.slot(bucket);
         if (!Double.isNaN(last[slot])) {
             double missed = Math.abs(calls - last[slot]);
@@ -31,10 +31,11 @@
     }
 
     @Override
-    public Range forecast(long bucket) {
+    public PredictionInterval forecast(long bucket) {
         double middle = last[season.slot(bucket)];
         return Double.isNaN(middle) || miss < 0
-                ? Range.UNKNOWN
-                : new Range(Math.max(0, middle - WIDE * miss), middle, middle + WIDE * miss, true);
+                ? PredictionInterval.UNKNOWN
+                : new PredictionInterval(
+                        Math.max(0, middle - WIDE * miss), middle, middle + WIDE * miss, true);
     }
 }
--- a/src/main/java/waytrestle/forecast/Smoothed.java
+++ b/src/main/java/waytrestle/forecast/SeasonalSmoothing.java
@@ -6,7 +6,7 @@
  * Exponential smoothing with multiplicative seasonality (Holt-Winters without a trend: over hours
  * the level tells all). The level follows every bucket against its slot's usual share.
  */
-public final class Smoothed implements Forecaster {
+public final class SeasonalSmoothing implements Forecaster {
     // ---- Tuned numbers. ----
     private static final double LEVEL =
             0.1; // weight of a bucket in the level: about the last ten count
@@ -18,24 +18,24 @@
     private static final double LEAST =
             1e-3; // of the level: a share is never nought, so that it can recover
 
-    private final Season season;
+    private final SeasonalCalendar season;
     private final double[] share;
     private double level = -1, miss = -1;
     private long seen;
 
-    public Smoothed(Season season) {
+    public SeasonalSmoothing(SeasonalCalendar season) {
         this.season = season;
-        this.share = new double[season.slots()];
+        this.share = new double[season.slotCount()];
         Arrays.fill(share, Double.NaN);
     }
 
     @Override
-    public void observed(long bucket, double calls) {
-        Range told = forecast(bucket);
+    public void observe(long bucket, double calls) {
+        PredictionInterval told = forecast(bucket);
         int slot = season.slot(bucket);
         seen++;
         if (told.known()) {
-            double relative = Math.abs(calls - told.middle()) / Math.sqrt(told.middle() + 1);
+            double relative = Math.abs(calls - told.median()) / Math.sqrt(told.median() + 1);
             miss = miss < 0 ? relative : miss + NEWS * (relative - miss);
         }
         level = level < 0 ? calls : level;
@@ -49,13 +49,13 @@
     }
 
     @Override
-    public Range forecast(long bucket) {
+    public PredictionInterval forecast(long bucket) {
         double slot = share[season.slot(bucket)];
-        if (Double.isNaN(slot) || (miss < 0 && seen < 2L * season.slotsOfDay())) {
-            return Range.UNKNOWN;
+        if (Double.isNaN(slot) || (miss < 0 && seen < 2L * season.slotsPerDay())) {
+            return PredictionInterval.UNKNOWN;
         }
         double middle = level * slot;
         double wide = WIDE * Math.max(miss, 0.5) * Math.sqrt(middle + 1);
-        return new Range(Math.max(0, middle - wide), middle, middle + wide, true);
+        return new PredictionInterval(Math.max(0, middle - wide), middle, middle + wide, true);
     }
 }
--- a/src/main/java/waytrestle/front/kserve/InferCheck.java
+++ b/src/main/java/waytrestle/front/kserve/InferCheck.java
@@ -295,9 +295,9 @@
                 continue;
             }
             String at = "inputs[" + i + "].parameters.binary_data_size";
-            if (t.binary > cursor.left()) {
+            if (t.binary > cursor.remaining()) {
                 throw new Fault(
-                        at, "tells " + t.binary + " bytes where " + cursor.left() + " follow");
+                        at, "tells " + t.binary + " bytes where " + cursor.remaining() + " follow");
             }
             int size = SIZES.get(t.type);
             if (size > 0) {
@@ -316,23 +316,23 @@
                 cursor.skip(t.binary);
                 continue;
             }
-            long end = cursor.left() - t.binary;
+            long end = cursor.remaining() - t.binary;
             for (long n = 0; n < t.elements; n++) {
-                if (cursor.left() - end < 4) {
+                if (cursor.remaining() - end < 4) {
                     throw new Fault(at, "ends before element " + n + " of " + t.elements);
                 }
-                long length = cursor.littleEndian() & 0xFFFFFFFFL;
-                if (length > cursor.left() - end) {
+                long length = cursor.readLittleEndianInt() & 0xFFFFFFFFL;
+                if (length > cursor.remaining() - end) {
                     throw new Fault(at, "element " + n + " is longer than what is left");
                 }
                 cursor.skip(length);
             }
-            if (cursor.left() != end) {
+            if (cursor.remaining() != end) {
                 throw new Fault(at, "holds more than the " + t.elements + " elements of the shape");
             }
         }
-        if (cursor.left() > 0) {
-            throw new Fault("", cursor.left() + " bytes follow that belong to no input");
+        if (cursor.remaining() > 0) {
+            throw new Fault("", cursor.remaining() + " bytes follow that belong to no input");
         }
     }
 }
--- a/src/main/java/waytrestle/gateway/ConnectionGuard.java
+++ b/src/main/java/waytrestle/gateway/ConnectionGuard.java
@@ -51,7 +51,7 @@
 
     @Override
     public boolean possible(long bytes) {
-        return budget.isGrantable(bytes);
+        return budget.canEverReserve(bytes);
     }
 
     @Override
@@ -70,10 +70,10 @@
     }
 
     long bytes() {
-        return budget.used();
+        return budget.reservedBytes();
     }
 
     int waiting() {
-        return budget.waiting();
+        return budget.pendingReservations();
     }
 }
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -188,7 +188,7 @@
             server = new HttpServer(loop, config.listen(), config.http(), door, router);
             metrics.gauge("waytrestle_body_bytes", "", door::bytes);
             metrics.gauge("waytrestle_bodies_waiting", "", door::waiting);
-            metrics.gauge("waytrestle_concurrency_limit", "", overload::limit);
+            metrics.gauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
             admin = new HttpServer(loop, config.admin(), config.http(), 64, this::page);
             metrics.help("waytrestle_body_bytes", "Bytes of request bodies held at present.");
             metrics.help(
--- a/src/main/java/waytrestle/invoker/InferProtocol.java
+++ b/src/main/java/waytrestle/invoker/InferProtocol.java
@@ -301,7 +301,7 @@
             return null;
         }
         Bytes binary = body.slice(jsonLength, jsonLength + size);
-        return binary.cursor().littleEndian() != size - 4
+        return binary.cursor().readLittleEndianInt() != size - 4
                 ? null
                 : new Served(type, binary.slice(4, size), -1);
     }
--- a/src/main/java/waytrestle/overload/ByteBudget.java
+++ b/src/main/java/waytrestle/overload/ByteBudget.java
@@ -37,17 +37,17 @@
     }
 
     /** The bytes now reserved. */
-    public long used() {
+    public long reservedBytes() {
         return reservedBytes;
     }
 
     /** The number of bodies that wait for their reservation. */
-    public int waiting() {
+    public int pendingReservations() {
         return pending.size();
     }
 
     /** Whether a body of this size can be granted at all, once enough others are released. */
-    public boolean isGrantable(long bytes) {
+    public boolean canEverReserve(long bytes) {
         return bytes <= capacityFor(bytes);
     }
 
--- a/src/main/java/waytrestle/overload/ConcurrencyLimit.java
+++ b/src/main/java/waytrestle/overload/ConcurrencyLimit.java
@@ -71,20 +71,20 @@
     }
 
     /** Records the number of requests in flight; called at each change of it. */
-    public void inFlight(long nowMicros, int requests) {
+    public void recordInFlight(long nowMicros, int requests) {
         windowPeakInFlight = Math.max(windowPeakInFlight, requests);
         updateWhenWindowIsOver(nowMicros);
     }
 
     /** Records that the deadline of a request passed while it was in flight. */
-    public void timedOut(long nowMicros) {
+    public void recordTimeout(long nowMicros) {
         windowTimeouts++;
         updateWhenWindowIsOver(nowMicros);
     }
 
     /** Records a response of a function that was already loaded when the request was sent. */
-    public void served(long nowMicros, String function, long responseMicros) {
-        windowLatencyRatios += latencies.record(nowMicros, function, responseMicros);
+    public void recordResponse(long nowMicros, String function, long responseMicros) {
+        windowLatencyRatios += latencies.recordAndGetRatio(nowMicros, function, responseMicros);
         windowResponses++;
         updateWhenWindowIsOver(nowMicros);
     }
--- a/src/main/java/waytrestle/overload/ConnectionAdmission.java
+++ b/src/main/java/waytrestle/overload/ConnectionAdmission.java
@@ -45,7 +45,7 @@
     }
 
     /** The number of open connections. */
-    public int open() {
+    public int openConnections() {
         return connections;
     }
 
--- a/src/main/java/waytrestle/overload/FunctionLatencies.java
+++ b/src/main/java/waytrestle/overload/FunctionLatencies.java
@@ -62,7 +62,7 @@
      * Learns from a response time and returns it as a multiple of the function's baseline: about 1
      * where the request did not queue.
      */
-    double record(long nowMicros, String function, long responseMicros) {
+    double recordAndGetRatio(long nowMicros, String function, long responseMicros) {
         Baseline baseline = baselines.computeIfAbsent(function, name -> new Baseline());
         baseline.update(nowMicros, responseMicros);
         return baseline.ratio(responseMicros);
--- a/src/main/java/waytrestle/overload/OverloadControl.java
+++ b/src/main/java/waytrestle/overload/OverloadControl.java
@@ -40,7 +40,7 @@
             Settings settings,
             int maxInFlight,
             List<Tenant> tenants,
-            List<TenantQuotas.Limit> tenantLimits,
+            List<TenantQuotas.TenantLimits> tenantLimits,
             List<RequestClass> classes) {
         int minInFlight = Math.min(maxInFlight, settings.minInFlight());
         this.concurrencyLimit = new ConcurrencyLimit(minInFlight, maxInFlight);
@@ -49,7 +49,7 @@
     }
 
     /** The number of requests that may be in flight now. */
-    public int limit() {
+    public int concurrencyLimit() {
         return concurrencyLimit.limit();
     }
 
@@ -61,8 +61,8 @@
         if (!isWithinRetryBudget(nowMicros, fingerprint)) {
             return Reason.RETRY_BUDGET_EXHAUSTED;
         }
-        if (!tenantQuotas.hasCapacity(tenant, requestClass, inFlight, limit())) {
-            retryBudget.rejected(nowMicros, fingerprint);
+        if (!tenantQuotas.hasCapacity(tenant, requestClass, inFlight, concurrencyLimit())) {
+            retryBudget.recordRejection(nowMicros, fingerprint);
             return Reason.TENANT_QUOTA_EXCEEDED;
         }
         return null;
@@ -80,7 +80,7 @@
     public void requestStarted(long nowMicros, int tenant, int requestClass) {
         tenantQuotas.requestStarted(tenant);
         inFlight++;
-        concurrencyLimit.inFlight(nowMicros, inFlight);
+        concurrencyLimit.recordInFlight(nowMicros, inFlight);
     }
 
     @Override
@@ -93,13 +93,13 @@
             boolean timedOut) {
         tenantQuotas.requestCompleted(tenant);
         if (rejected) {
-            retryBudget.rejected(nowMicros, fingerprint);
+            retryBudget.recordRejection(nowMicros, fingerprint);
         }
         if (timedOut) {
-            concurrencyLimit.timedOut(nowMicros);
+            concurrencyLimit.recordTimeout(nowMicros);
         }
         inFlight--;
-        concurrencyLimit.inFlight(nowMicros, inFlight);
+        concurrencyLimit.recordInFlight(nowMicros, inFlight);
     }
 
     @Override
@@ -109,6 +109,6 @@
 
     @Override
     public void warmResponseServed(long nowMicros, String function, long responseMicros) {
-        concurrencyLimit.served(nowMicros, function, responseMicros);
+        concurrencyLimit.recordResponse(nowMicros, function, responseMicros);
     }
 }
--- a/src/main/java/waytrestle/overload/RetryBudget.java
+++ b/src/main/java/waytrestle/overload/RetryBudget.java
@@ -64,7 +64,7 @@
     }
 
     /** Records a rejected request, so that its retry is recognised. */
-    public void rejected(long nowMicros, long fingerprint) {
+    public void recordRejection(long nowMicros, long fingerprint) {
         if (fingerprint == NO_FINGERPRINT) {
             return;
         }
--- a/src/main/java/waytrestle/overload/TenantQuotas.java
+++ b/src/main/java/waytrestle/overload/TenantQuotas.java
@@ -33,32 +33,32 @@
     private static final int DEFAULT_TENANT = 0;
 
     /** Limits that a tenant has at this controller whatever the load; 0 for none. */
-    public record Limit(double requestsPerSecond, int inFlight) {
-        private static final Limit NONE = new Limit(0, 0);
+    public record TenantLimits(double maxRequestsPerSecond, int maxInFlight) {
+        private static final TenantLimits NONE = new TenantLimits(0, 0);
 
         private boolean limitsRate() {
-            return requestsPerSecond > 0;
+            return maxRequestsPerSecond > 0;
         }
 
         private boolean limitsInFlight() {
-            return inFlight > 0;
+            return maxInFlight > 0;
         }
     }
 
     private static final class TenantUsage {
         final double quota;
-        final Limit limit;
+        final TenantLimits limit;
         final TokenBucket rate;
         int inFlight;
 
-        TenantUsage(double quota, Limit limit) {
+        TenantUsage(double quota, TenantLimits limit) {
             this.quota = quota;
             this.limit = limit;
-            this.rate = new TokenBucket(limit.requestsPerSecond());
+            this.rate = new TokenBucket(limit.maxRequestsPerSecond());
         }
 
         boolean exceedsLimit(long nowMicros) {
-            if (limit.limitsInFlight() && inFlight >= limit.inFlight()) {
+            if (limit.limitsInFlight() && inFlight >= limit.maxInFlight()) {
                 return true;
             }
             return limit.limitsRate() && !rate.tryTake(nowMicros);
@@ -79,12 +79,13 @@
      * @param limits the limits of the tenants in the same order; those past its end have none
      * @param classes the configured request classes
      */
-    public TenantQuotas(List<Tenant> tenants, List<Limit> limits, List<RequestClass> classes) {
+    public TenantQuotas(
+            List<Tenant> tenants, List<TenantLimits> limits, List<RequestClass> classes) {
         this.usages = unusedQuotas(tenants, limits);
         this.borrowingFractionByClass = borrowingFractions(classes);
     }
 
-    private static List<TenantUsage> unusedQuotas(List<Tenant> tenants, List<Limit> limits) {
+    private static List<TenantUsage> unusedQuotas(List<Tenant> tenants, List<TenantLimits> limits) {
         int count = Math.max(1, tenants.size());
         double quotaSum = tenants.stream().mapToDouble(Tenant::quota).sum();
         List<TenantUsage> usages = new ArrayList<>(count);
@@ -93,7 +94,7 @@
             boolean equalQuotas = quotaSum <= 0;
             double quota =
                     equalQuotas ? 1.0 / count : tenants.get(i).quota() / Math.max(1, quotaSum);
-            Limit limit = i < limits.size() ? limits.get(i) : Limit.NONE;
+            TenantLimits limit = i < limits.size() ? limits.get(i) : TenantLimits.NONE;
             usages.add(new TenantUsage(quota, limit));
         }
         return usages;
--- a/src/test/java/waytrestle/forecast/ForecastTest.java
+++ b/src/test/java/waytrestle/forecast/ForecastTest.java
@@ -14,8 +14,10 @@
 
 /** Forecasts, scored by rolling origin on synthetic histories. */
 class ForecastTest {
-    private static final Season SEASON =
-            new Season(900, List.of(new Season.Special("quarter-end", List.of(90L, 181L))));
+    private static final SeasonalCalendar SEASON =
+            new SeasonalCalendar(
+                    900,
+                    List.of(new SeasonalCalendar.SpecialDays("quarter-end", List.of(90L, 181L))));
     private static final int OF_DAY = 96;
 
     /**
@@ -71,14 +73,14 @@
         long judged = 0;
         for (long b = 0; b < (long) days * OF_DAY; b++) {
             double came = history.applyAsDouble(b);
-            Forecaster.Range told =
+            Forecaster.PredictionInterval told =
                     f.forecast(b); // the origin rolls: each bucket from all before it
             if (b >= 28L * OF_DAY) {
                 assertTrue(told.known(), "after four weeks it speaks");
-                lost += Forecaster.pinball(told, came);
+                lost += Forecaster.pinballLoss(told, came);
                 judged++;
             }
-            f.observed(b, came);
+            f.observe(b, came);
         }
         return lost / judged;
     }
@@ -87,7 +89,11 @@
     void theChosenMethodBeatsTheNaiveOneOnEveryHistory() {
         for (String name : histories(new Random(0)).keySet()) {
             double naive = score(new SeasonalNaive(SEASON), histories(new Random(5)).get(name), 84);
-            double chosen = score(Chosen.of(SEASON), histories(new Random(5)).get(name), 84);
+            double chosen =
+                    score(
+                            LeastLossForecaster.ofAllMethods(SEASON),
+                            histories(new Random(5)).get(name),
+                            84);
             assertTrue(chosen < naive, name + ": " + chosen + " against " + naive);
         }
     }
@@ -95,17 +101,17 @@
     @Test
     void rangesHoldAboutFourOfFive() {
         for (Map.Entry<String, LongToDoubleFunction> each : histories(new Random(5)).entrySet()) {
-            Chosen f = Chosen.of(SEASON);
+            LeastLossForecaster f = LeastLossForecaster.ofAllMethods(SEASON);
             int within = 0;
             int judged = 0;
             for (long b = 0; b < 84L * OF_DAY; b++) {
                 double came = each.getValue().applyAsDouble(b);
-                Forecaster.Range told = f.forecast(b);
+                Forecaster.PredictionInterval told = f.forecast(b);
                 if (b >= 42L * OF_DAY) {
                     judged++;
                     within += came >= told.low() - 0.5 && came <= told.high() + 0.5 ? 1 : 0;
                 }
-                f.observed(b, came);
+                f.observe(b, came);
             }
             double share = within / (double) judged;
             assertTrue(share > 0.7 && share <= 0.99, each.getKey() + ": " + share);
@@ -114,15 +120,15 @@
 
     @Test
     void aMondaysRushIsKnownBeforeItComes() {
-        Chosen f = Chosen.of(SEASON);
+        LeastLossForecaster f = LeastLossForecaster.ofAllMethods(SEASON);
         Random random = new Random(3);
         long monday = 4; // 1970-01-05
         for (long b = 0; b < (monday + 42) * OF_DAY; b++) {
-            f.observed(b, poisson(random, week(b, 8)));
+            f.observe(b, poisson(random, week(b, 8)));
         }
         long eight = (monday + 42) * OF_DAY + 32;
         assertTrue(
-                f.forecast(eight).middle() > 150 && f.forecast(eight).low() > 40,
+                f.forecast(eight).median() > 150 && f.forecast(eight).low() > 40,
                 "at eight: " + f.forecast(eight));
         assertTrue(f.forecast(eight - 4).high() < 20, "at seven: " + f.forecast(eight - 4));
         assertTrue(
@@ -135,11 +141,11 @@
         for (Forecaster f :
                 List.of(
                         new SeasonalNaive(SEASON),
-                        new Smoothed(SEASON),
-                        new ProfileAndLevel(SEASON),
-                        Chosen.of(SEASON))) {
+                        new SeasonalSmoothing(SEASON),
+                        new ScaledSeasonalMedian(SEASON),
+                        LeastLossForecaster.ofAllMethods(SEASON))) {
             assertFalse(f.forecast(50).known());
-            f.observed(50, 7);
+            f.observe(50, 7);
             assertFalse(f.forecast(50).known(), "one bucket is no habit");
         }
     }
@@ -150,16 +156,20 @@
         assertTrue(SEASON.slot(90L * OF_DAY + 5) >= 7 * OF_DAY);
         assertEquals(0, SEASON.slot(4L * OF_DAY), "a Monday's first");
         assertEquals(SEASON.slot(4L * OF_DAY), SEASON.slot(11L * OF_DAY));
-        assertThrows(IllegalArgumentException.class, () -> new Season(7_000, List.of()));
+        assertThrows(IllegalArgumentException.class, () -> new SeasonalCalendar(7_000, List.of()));
     }
 
     @Test
     void pinballLossPrefersTheRightQuantiles() {
-        Forecaster.Range right = new Forecaster.Range(8, 10, 12, true);
-        assertEquals(0, Forecaster.pinball(new Forecaster.Range(10, 10, 10, true), 10), 1e-9);
+        Forecaster.PredictionInterval right = new Forecaster.PredictionInterval(8, 10, 12, true);
+        assertEquals(
+                0,
+                Forecaster.pinballLoss(new Forecaster.PredictionInterval(10, 10, 10, true), 10),
+                1e-9);
         assertTrue(
-                Forecaster.pinball(right, 10)
-                        < Forecaster.pinball(new Forecaster.Range(0, 10, 40, true), 10));
-        assertTrue(Forecaster.pinball(right, 50) > Forecaster.pinball(right, 12));
+                Forecaster.pinballLoss(right, 10)
+                        < Forecaster.pinballLoss(
+                                new Forecaster.PredictionInterval(0, 10, 40, true), 10));
+        assertTrue(Forecaster.pinballLoss(right, 50) > Forecaster.pinballLoss(right, 12));
     }
 }
--- a/src/test/java/waytrestle/overload/ByteBudgetTest.java
+++ b/src/test/java/waytrestle/overload/ByteBudgetTest.java
@@ -16,7 +16,7 @@
         assertFalse(budget.tryReserve(2, 200_000), "a tenth is kept for small bodies");
         assertFalse(budget.tryReserve(3, 100_000), "behind the one that waits");
         assertTrue(budget.tryReserve(4, 16_000), "a small body passes");
-        assertFalse(budget.isGrantable(950_000));
+        assertFalse(budget.canEverReserve(950_000));
         List<Long> granted = new ArrayList<>();
         budget.release(1, granted::add);
         assertEquals(List.of(2L, 3L), granted);
@@ -27,7 +27,7 @@
         for (long id = 2; id <= 4; id++) {
             budget.release(id, granted::add);
         }
-        assertEquals(0, budget.used());
-        assertEquals(0, budget.waiting());
+        assertEquals(0, budget.reservedBytes());
+        assertEquals(0, budget.pendingReservations());
     }
 }
--- a/src/test/java/waytrestle/overload/ConcurrencyLimitTest.java
+++ b/src/test/java/waytrestle/overload/ConcurrencyLimitTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.overload.OverloadFixture.SECOND_MICROS;
+import static waytrestle.overload.OverloadFixture.MICROS_PER_SECOND;
 
 import org.junit.jupiter.api.Test;
 
@@ -13,13 +13,13 @@
     private static final long WINDOW_MICROS = 250_000;
 
     private final ConcurrencyLimit limit = new ConcurrencyLimit(MIN_LIMIT, MAX_LIMIT);
-    private long now = SECOND_MICROS;
+    private long now = MICROS_PER_SECOND;
 
     private void runWindow(int inFlight, long responseMicros) {
-        limit.inFlight(now, inFlight);
+        limit.recordInFlight(now, inFlight);
         for (int i = 0; i < RESPONSES_PER_WINDOW; i++) {
             now += WINDOW_MICROS / RESPONSES_PER_WINDOW;
-            limit.served(now, "function", responseMicros);
+            limit.recordResponse(now, "function", responseMicros);
         }
     }
 
@@ -47,7 +47,7 @@
         for (int i = 0; i < 20; i++) {
             for (int timeout = 0; timeout < RESPONSES_PER_WINDOW; timeout++) {
                 now += WINDOW_MICROS / RESPONSES_PER_WINDOW;
-                limit.timedOut(now);
+                limit.recordTimeout(now);
             }
         }
         assertEquals(MIN_LIMIT, limit.limit());
--- a/src/test/java/waytrestle/overload/ConnectionAdmissionTest.java
+++ b/src/test/java/waytrestle/overload/ConnectionAdmissionTest.java
@@ -21,6 +21,6 @@
         assertEquals(Reason.TOTAL, admission.tryAdmit("d", TrustLevel.TRUSTED));
         admission.release("a");
         assertNull(admission.tryAdmit("d", TrustLevel.ORDINARY));
-        assertEquals(5, admission.open());
+        assertEquals(5, admission.openConnections());
     }
 }
--- a/src/test/java/waytrestle/overload/OverloadFixture.java
+++ b/src/test/java/waytrestle/overload/OverloadFixture.java
@@ -8,16 +8,16 @@
 
 /** Fixture: two tenants of equal quota and two request classes of unequal priority weight. */
 final class OverloadFixture {
-    static final long SECOND_MICROS = 1_000_000;
-    static final long OBJECTIVE_MICROS = SECOND_MICROS;
-    static final long DEADLINE_MICROS = 3 * SECOND_MICROS;
+    static final long MICROS_PER_SECOND = 1_000_000;
+    static final long LATENCY_OBJECTIVE_MICROS = MICROS_PER_SECOND;
+    static final long DEADLINE_MICROS = 3 * MICROS_PER_SECOND;
 
     static final int FIRST_TENANT = 0;
     static final int SECOND_TENANT = 1;
     static final List<Tenant> TENANTS = List.of(new Tenant("a", 0.5, 0), new Tenant("b", 0.5, 0));
 
-    static final int LOW_PRIORITY = 0;
-    static final int HIGH_PRIORITY = 1;
+    static final int LOW_PRIORITY_CLASS = 0;
+    static final int HIGH_PRIORITY_CLASS = 1;
     static final List<RequestClass> CLASSES =
             List.of(requestClass("low-priority", 1), requestClass("high-priority", 3));
 
@@ -35,7 +35,7 @@
                 Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
-                OBJECTIVE_MICROS,
+                LATENCY_OBJECTIVE_MICROS,
                 0,
                 DEADLINE_MICROS,
                 priorityWeight,
--- a/src/test/java/waytrestle/overload/RetryBudgetTest.java
+++ b/src/test/java/waytrestle/overload/RetryBudgetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.overload.OverloadFixture.SECOND_MICROS;
+import static waytrestle.overload.OverloadFixture.MICROS_PER_SECOND;
 
 import org.junit.jupiter.api.Test;
 
@@ -11,7 +11,7 @@
     @Test
     void retriesAddTheirFractionOfLoadAndNoMore() {
         RetryBudget budget = OverloadFixture.retryBudget();
-        long now = SECOND_MICROS;
+        long now = MICROS_PER_SECOND;
         int retries = 0;
         for (int i = 0; i < 60_000; i++) {
             budget.deposit(now);
@@ -21,7 +21,7 @@
         assertTrue(
                 retries <= 0.2 * 60_000 + 10 * 60 + 100 && retries >= 0.19 * 60_000,
                 "retries: " + retries);
-        now += 30 * SECOND_MICROS;
+        now += 30 * MICROS_PER_SECOND;
         int retriesWithoutTraffic = 0;
         while (budget.tryWithdraw(now)) {
             retriesWithoutTraffic++;
@@ -34,14 +34,14 @@
     @Test
     void aRejectedRequestIsRecognisedAsRetryForAWhile() {
         RetryBudget budget = OverloadFixture.retryBudget();
-        budget.rejected(SECOND_MICROS, 77);
-        assertTrue(budget.isRetry(2 * SECOND_MICROS, 77));
-        assertFalse(budget.isRetry(2 * SECOND_MICROS, 78));
-        assertFalse(budget.isRetry(2 * SECOND_MICROS, 0));
-        assertFalse(budget.isRetry(60 * SECOND_MICROS, 77));
+        budget.recordRejection(MICROS_PER_SECOND, 77);
+        assertTrue(budget.isRetry(2 * MICROS_PER_SECOND, 77));
+        assertFalse(budget.isRetry(2 * MICROS_PER_SECOND, 78));
+        assertFalse(budget.isRetry(2 * MICROS_PER_SECOND, 0));
+        assertFalse(budget.isRetry(60 * MICROS_PER_SECOND, 77));
         for (int i = 100; i < 100_100; i++) {
-            budget.rejected(2 * SECOND_MICROS, i);
+            budget.recordRejection(2 * MICROS_PER_SECOND, i);
         }
-        assertFalse(budget.isRetry(2 * SECOND_MICROS, 100), "bounded");
+        assertFalse(budget.isRetry(2 * MICROS_PER_SECOND, 100), "bounded");
     }
 }
--- a/src/test/java/waytrestle/overload/SimulatedFleet.java
+++ b/src/test/java/waytrestle/overload/SimulatedFleet.java
@@ -1,9 +1,9 @@
 package waytrestle.overload;
 
 import static waytrestle.overload.OverloadFixture.DEADLINE_MICROS;
-import static waytrestle.overload.OverloadFixture.LOW_PRIORITY;
-import static waytrestle.overload.OverloadFixture.OBJECTIVE_MICROS;
-import static waytrestle.overload.OverloadFixture.SECOND_MICROS;
+import static waytrestle.overload.OverloadFixture.LOW_PRIORITY_CLASS;
+import static waytrestle.overload.OverloadFixture.LATENCY_OBJECTIVE_MICROS;
+import static waytrestle.overload.OverloadFixture.MICROS_PER_SECOND;
 import static waytrestle.overload.OverloadFixture.TENANTS;
 
 import java.util.ArrayDeque;
@@ -61,7 +61,7 @@
     private int busyServers;
     private long admittedRetries;
     private long requests;
-    private long now = SECOND_MICROS;
+    private long now = MICROS_PER_SECOND;
 
     SimulatedFleet(int servers, boolean clientsRetry) {
         this.servers = servers;
@@ -75,7 +75,7 @@
             requests++;
             events.add(new RequestArrived((long) atMicros, new Request(tenant, requests, 0)));
             double gapSeconds = -Math.log(1 - random.nextDouble()) / requestsPerSecond;
-            atMicros += gapSeconds * SECOND_MICROS;
+            atMicros += gapSeconds * MICROS_PER_SECOND;
         }
     }
 
@@ -83,7 +83,7 @@
         servers = count;
     }
 
-    void run(long untilMicros) {
+    void runUntil(long untilMicros) {
         while (!events.isEmpty() && events.peek().atMicros() <= untilMicros) {
             Event event = events.poll();
             now = event.atMicros();
@@ -105,13 +105,14 @@
         }
         long fingerprint = clientsRetry ? request.fingerprint() : 0;
         boolean admitted =
-                overloadControl.rejectionReason(now, request.tenant(), LOW_PRIORITY, fingerprint)
+                overloadControl.rejectionReason(
+                                now, request.tenant(), LOW_PRIORITY_CLASS, fingerprint)
                         == null;
         if (!admitted) {
             retryLater(request);
             return;
         }
-        overloadControl.requestStarted(now, request.tenant(), LOW_PRIORITY);
+        overloadControl.requestStarted(now, request.tenant(), LOW_PRIORITY_CLASS);
         queue.add(new QueuedRequest(now, request));
         if (!request.isFirst()) {
             admittedRetries++;
@@ -123,8 +124,9 @@
         long responseMicros = now - served.queuedAt();
         boolean timedOut = responseMicros > DEADLINE_MICROS;
         overloadControl.warmResponseServed(now, FUNCTION, responseMicros);
-        overloadControl.requestCompleted(now, served.tenant(), LOW_PRIORITY, 0, false, timedOut);
-        if (responseMicros <= OBJECTIVE_MICROS) {
+        overloadControl.requestCompleted(
+                now, served.tenant(), LOW_PRIORITY_CLASS, 0, false, timedOut);
+        if (responseMicros <= LATENCY_OBJECTIVE_MICROS) {
             servedInTimeByTenant[served.tenant()]++;
         }
     }
@@ -133,7 +135,7 @@
         while (!queue.isEmpty() && queue.peek().queuedAt() < now - DEADLINE_MICROS) {
             Request expired = queue.poll().request();
             overloadControl.requestCompleted(
-                    now, expired.tenant(), LOW_PRIORITY, expired.fingerprint(), true, false);
+                    now, expired.tenant(), LOW_PRIORITY_CLASS, expired.fingerprint(), true, false);
             retryLater(expired);
         }
     }
@@ -154,7 +156,7 @@
                         || now - limitSamples.get(limitSamples.size() - 1).atMicros()
                                 > LIMIT_SAMPLE_INTERVAL_MICROS;
         if (due) {
-            limitSamples.add(new LimitSample(now, overloadControl.limit()));
+            limitSamples.add(new LimitSample(now, overloadControl.concurrencyLimit()));
         }
     }
 
@@ -166,7 +168,7 @@
     }
 
     /** First requests that were scheduled. */
-    long requests() {
+    long firstRequests() {
         return requests;
     }
 
@@ -175,16 +177,16 @@
     }
 
     /** First requests of a tenant that have arrived. */
-    long offered(int tenant) {
+    long arrivedFirstRequests(int tenant) {
         return offeredByTenant[tenant];
     }
 
     /** Requests of a tenant that were served within their latency objective. */
-    long servedInTime(int tenant) {
+    long servedWithinObjective(int tenant) {
         return servedInTimeByTenant[tenant];
     }
 
-    long servedInTime() {
+    long servedWithinObjective() {
         long sum = 0;
         for (long served : servedInTimeByTenant) {
             sum += served;
--- a/src/test/java/waytrestle/overload/StartupPreloadLimitTest.java
+++ b/src/test/java/waytrestle/overload/StartupPreloadLimitTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static waytrestle.overload.OverloadFixture.SECOND_MICROS;
+import static waytrestle.overload.OverloadFixture.MICROS_PER_SECOND;
 
 import org.junit.jupiter.api.Test;
 
 class StartupPreloadLimitTest {
-    private static final long START_MICROS = 5 * SECOND_MICROS;
-    private static final long PERIOD_MICROS = 60 * SECOND_MICROS;
+    private static final long START_MICROS = 5 * MICROS_PER_SECOND;
+    private static final long PERIOD_MICROS = 60 * MICROS_PER_SECOND;
 
     @Test
     void withinThePeriodPreloadsComeWithAcceptedRequests() {
