--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -1,6 +1,5 @@
 package waytrestle.controller;
 
-import java.util.Collection;
 import waytrestle.requests.PendingRequests;
 import waytrestle.requests.RequestHandler.IncomingRequest;
 import waytrestle.requests.SendGuard;
@@ -9,6 +8,8 @@
 import waytrestle.scheduler.ResponseCode;
 import waytrestle.scheduler.SchedulerEvent;
 
+import java.util.Collection;
+
 /**
  * Observes a controller, for metrics and logs; no decision depends on it. Called on the
  * controller's event loop.
@@ -84,7 +85,7 @@
     default void invokerReadmitted(String invoker) {}
 
     /** An invoker breaks or never reports a capability that the settings declare. */
-    default void capabilityWarning(ClassifierCommand.WarnOfCapability warning) {}
+    default void capabilityWarning(ClassifierCommand.WarnOfMissingCapability warning) {}
 
     /** An invoker is gone; nothing of it needs to be kept. */
     default void invokerRemoved(String invoker) {}
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -1,7 +1,5 @@
 package waytrestle.controller;
 
-import java.util.Map;
-import java.util.function.Function;
 import waytrestle.invoker.LoadMetrics;
 import waytrestle.overload.StartupPreloadLimit;
 import waytrestle.requests.RequestHandler.FunctionHints;
@@ -15,6 +13,9 @@
 import waytrestle.scheduler.SchedulerEvent.HealthCheckCompleted;
 import waytrestle.scheduler.SchedulerSettings;
 
+import java.util.Map;
+import java.util.function.Function;
+
 /**
  * Sends what the scheduler asks of invokers beside attempts: preload and unload requests, health
  * checks, the closing of idle connections.
@@ -122,7 +123,7 @@
         @Override
         public void completed(ExchangeResult result, int instances, LoadMetrics metrics) {
             long elapsedMicros = transport.now() - sentAtMicros;
-            ResponseCode code = classifier.codeOfPreload(result);
+            ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
             listener.preloadCompleted(command.invoker(), command.function(), code);
             if (loadsInstances(command)) {
                 notifyClassifier(result, metrics, elapsedMicros);
@@ -166,7 +167,7 @@
         client.checkHealth(
                 settings.limits().connectTimeoutMicros(),
                 (result, instances, metrics) -> {
-                    ResponseCode code = classifier.codeOfPreload(result);
+                    ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
                     listener.healthCheckCompleted(command.invoker(), code);
                     dispatcher.dispatchToScheduler(
                             new HealthCheckCompleted(
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -1,9 +1,8 @@
 package waytrestle.gateway;
 
-import java.util.Collection;
-import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+
 import waytrestle.config.GatewayConfig;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerDependencies;
@@ -21,6 +20,9 @@
 import waytrestle.scheduler.ResponseCode;
 import waytrestle.scheduler.SchedulerEvent;
 
+import java.util.Collection;
+import java.util.List;
+
 /**
  * What a gateway's controller is made of by its configuration, and what it counts and logs of
  * itself.
@@ -131,7 +133,7 @@
                 "Answers by which an invoker kept, broke or left untold "
                         + "what a setting promises of it.",
                 out ->
-                        outcomes.capabilities(
+                        outcomes.forEachCapability(
                                 (invoker, promise, untold, kept, broken) -> {
                                     String labels =
                                             "invoker=\""
@@ -218,7 +220,7 @@
     }
 
     @Override
-    public void capabilityWarning(ClassifierCommand.WarnOfCapability a) {
+    public void capabilityWarning(ClassifierCommand.WarnOfMissingCapability a) {
         LOG.warn(
                 "capability.{} invoker={} setting={} declared=\"{}\"",
                 a.unreported() ? "not_reported" : "refuted",
--- a/src/main/java/waytrestle/responses/OutlierEjection.java
+++ b/src/main/java/waytrestle/responses/OutlierEjection.java
@@ -1,6 +1,5 @@
 package waytrestle.responses;
 
-import java.util.List;
 import waytrestle.responses.ClassifierCommand.ReportEjection;
 import waytrestle.responses.ClassifierCommand.ReportReadmission;
 import waytrestle.responses.ClassifierCommand.SetTimer;
@@ -9,6 +8,8 @@
 import waytrestle.scheduler.InvokerEndpoint;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
+import java.util.List;
+
 /**
  * Ejects outliers for a while and readmits them: the scheduler sees an ejected invoker as draining.
  * A bounded share of the fleet is ejected at a time, and never its last invoker.
@@ -38,7 +39,7 @@
         }
         long durationMicros = health.eject(nowMicros);
         commands.add(new ReportEjection(id, durationMicros));
-        commands.add(updateOf(invoker.visibleToScheduler(invoker.endpoint())));
+        commands.add(updateOf(invoker.endpointForScheduler(invoker.endpoint())));
         commands.add(new SetTimer(durationMicros));
     }
 
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -1,11 +1,12 @@
 package waytrestle.scheduler;
 
+import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
+import waytrestle.stats.DecayingAverage;
+
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
-import waytrestle.stats.DecayingAverage;
 
 /** Follows the endpoint list: which invokers are ready, and which have started anew. */
 final class EndpointTracker {
@@ -56,7 +57,7 @@
             ready.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
         }
         state.readyByKind.forEach(
-                (kind, average) -> average.set(ready.getOrDefault(kind, 0), state.now));
+                (kind, average) -> average.setCount(ready.getOrDefault(kind, 0), state.now));
         ready.forEach(
                 (kind, count) ->
                         state.readyByKind
@@ -65,6 +66,6 @@
                                         added ->
                                                 new DecayingAverage(
                                                         FinishTimeEstimate.RATE_DECAY_MICROS))
-                                .set(count, state.now));
+                                .setCount(count, state.now));
     }
 }
--- a/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
@@ -2,9 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
+
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpMessage;
 import waytrestle.http.HttpParser;
@@ -12,6 +11,9 @@
 import waytrestle.responses.ExchangeResult;
 import waytrestle.scheduler.ResponseCode;
 
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
 /** What an invoker's response proves, from its bytes to the scheduler's code. */
 class PlatformResponseClassifierTest {
     private final PlatformResponseClassifier classifier = new PlatformResponseClassifier();
@@ -26,7 +28,7 @@
 
     private ResponseCode codeOf(String head) {
         HttpMessage response = parseResponse("HTTP/1.1 " + head + "\r\n\r\n");
-        return classifier.codeOfPreload(PlatformInvokerProtocol.result(response));
+        return classifier.codeOfPreloadOrHealthCheck(PlatformInvokerProtocol.result(response));
     }
 
     @Test
@@ -58,7 +60,7 @@
                             || kind == ExchangeResult.Kind.NO_CAPACITY
                             || kind == ExchangeResult.Kind.WITHHELD;
             if (kind != ExchangeResult.Kind.STATUS) {
-                ResponseCode code = classifier.codeOfPreload(ExchangeResult.of(kind));
+                ResponseCode code = classifier.codeOfPreloadOrHealthCheck(ExchangeResult.of(kind));
                 assertEquals(nothingSent, PendingRequests.provesNotRun(code), kind.name());
             }
         }
--- a/src/test/java/waytrestle/responses/FunctionRecordTest.java
+++ b/src/test/java/waytrestle/responses/FunctionRecordTest.java
@@ -1,12 +1,14 @@
 package waytrestle.responses;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import static waytrestle.responses.ClassifierFixture.MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierEvent.AttemptCompleted;
 import waytrestle.responses.ClassifierEvent.AttemptRequested;
@@ -74,7 +76,7 @@
 
     private AdmitRequest admit(long id, String function, int declaredConcurrency, long loadMicros) {
         fixture.handle(new RequestStarted(id, function, declaredConcurrency, loadMicros, 0));
-        return fixture.command(AdmitRequest.class);
+        return fixture.firstCommand(AdmitRequest.class);
     }
 
     @Test
