--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -84,7 +84,7 @@
     default void invokerReadmitted(String invoker) {}
 
     /** An invoker breaks or never reports a capability that the settings declare. */
-    default void capabilityWarning(ClassifierCommand.WarnOfCapability warning) {}
+    default void capabilityWarning(ClassifierCommand.WarnOfMissingCapability warning) {}
 
     /** An invoker is gone; nothing of it needs to be kept. */
     default void invokerRemoved(String invoker) {}
