--- a/src/main/java/waytrestle/access/FileAccessLog.java
+++ b/src/main/java/waytrestle/access/FileAccessLog.java
@@ -18,8 +18,8 @@
  * the bounded queue has no capacity for are dropped and counted. The file can be reopened by its
  * name, for log rotation.
  *
- * <p>{@link #takes} and {@link #write} are used by the controller's event loop alone; the counters,
- * {@link #reopen} and {@link #close} may be used from any thread.
+ * <p>{@link #shouldLog} and {@link #write} are used by the controller's event loop alone; the
+ * counters, {@link #reopen} and {@link #close} may be used from any thread.
  */
 public final class FileAccessLog implements AccessLog, AutoCloseable {
     /**
@@ -95,7 +95,7 @@
      * then all logged or none.
      */
     @Override
-    public boolean takes(String id) {
+    public boolean shouldLog(String id) {
         if (sampledFraction >= 1) {
             return true;
         }
@@ -119,12 +119,12 @@
     }
 
     /** Lines handed to the file since the start. */
-    public long written() {
+    public long writtenLines() {
         return written.get();
     }
 
     /** Lines lost since the start because the queue was full or the disk failed. */
-    public long dropped() {
+    public long droppedLines() {
         return dropped.get();
     }
 
--- a/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
+++ b/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
@@ -72,7 +72,7 @@
                         incoming.requestClass(),
                         incoming.tenant(),
                         incoming.function(),
-                        request.deadlineMicros() - transport.now(),
+                        request.deadlineMicros() - transport.nowMicros(),
                         hints.workMicros(),
                         hints.memoryMb(),
                         command.concurrencyPerInstance(),
