--- a/src/main/java/waytrestle/overload/BoundedMap.java
+++ b/src/main/java/waytrestle/overload/BoundedMap.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * A map that evicts its eldest entry whenever it would exceed a maximum size.
+ * A map that evicts its eldest entry whenever an insertion makes it exceed a maximum number of
+ * entries.
  *
  * <p>Not thread-safe.
  */
@@ -20,12 +21,12 @@
         this.maxEntries = maxEntries;
     }
 
-    /** A map whose eldest entry is the one inserted first. */
+    /** Returns an empty map that evicts the entry inserted first. */
     static <K, V> BoundedMap<K, V> inInsertionOrder(int maxEntries) {
         return new BoundedMap<>(maxEntries, false);
     }
 
-    /** A map whose eldest entry is the one not accessed for the longest time. */
+    /** Returns an empty map that evicts the least recently read or written entry. */
     static <K, V> BoundedMap<K, V> inAccessOrder(int maxEntries) {
         return new BoundedMap<>(maxEntries, true);
     }
--- a/src/main/java/waytrestle/overload/ByteBudget.java
+++ b/src/main/java/waytrestle/overload/ByteBudget.java
@@ -7,21 +7,22 @@
 import java.util.function.LongConsumer;
 
 /**
- * Bounds the bytes of all bodies that are in memory at once. A body is read only once its whole
- * length is reserved, in the order of the requests for it; until then its connection is not read
- * from, and TCP flow control stops its sender. Nothing is dropped. Since a body with a reservation
- * can always be read to its end, waiting bodies cannot deadlock.
+ * Bounds the total size, in bytes, of the request and response bodies in memory. The body of a
+ * request is read only after its whole length is reserved. Reservations that do not fit wait in
+ * first-in, first-out order; while a body waits, its connection is not read, and TCP flow control
+ * stops the sender. No body is dropped. Since a body with a reservation can always be read to its
+ * end, waiting bodies cannot deadlock.
  *
- * <p>Guards against memory exhausted by many or large bodies at once. It can delay small bodies
- * behind a large one, so small ones pass those that wait as long as they fit.
+ * <p>Guards against many or large bodies that exhaust the memory at once. Waiting in order would
+ * delay small bodies behind a large one, so a small body that fits overtakes the waiting ones.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class ByteBudget {
-    /** Bodies up to this size pass larger ones that wait, if they fit. */
+    /** Largest body that overtakes waiting bodies if it fits the budget. */
     private static final long SMALL_BODY_BYTES = 16 * 1024;
 
-    /** Fraction of the budget kept from larger bodies, so that small ones find capacity. */
+    /** Fraction of the budget that only bodies up to {@link #SMALL_BODY_BYTES} may use. */
     private static final double SMALL_BODY_RESERVED_FRACTION = 0.1;
 
     private record PendingReservation(long id, long bytes) {}
@@ -31,34 +32,36 @@
     private final Map<Long, Long> reservedById = new HashMap<>();
     private long reservedBytes;
 
-    /** A budget of which nothing is reserved yet. */
+    /** Creates a budget with no reservations. */
     public ByteBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** The bytes now reserved. */
+    /** Returns the number of reserved bytes, which response bodies may raise above the budget. */
     public long reservedBytes() {
         return reservedBytes;
     }
 
-    /** The number of bodies that wait for their reservation. */
+    /** Returns the number of bodies that wait for a reservation. */
     public int pendingReservations() {
         return pending.size();
     }
 
-    /** Whether a body of this size can be granted at all, once enough others are released. */
+    /** Returns whether a body of the given size fits a budget with no other reservations. */
     public boolean canEverReserve(long bytes) {
         return bytes <= capacityFor(bytes);
     }
 
     /**
-     * Reserves the bytes of a body, or queues it to be granted by a later {@link #release}.
+     * Reserves the bytes of a body, or queues the reservation until {@link #release} makes enough
+     * bytes available.
      *
-     * @return whether the bytes are reserved now
+     * @param id identifies the owner of the body in {@link #release}
+     * @return true if the bytes are reserved, false if the reservation is queued
      */
     public boolean tryReserve(long id, long bytes) {
-        boolean mayPass = pending.isEmpty() || bytes <= SMALL_BODY_BYTES;
-        if (mayPass && fits(bytes)) {
+        boolean mayOvertake = pending.isEmpty() || bytes <= SMALL_BODY_BYTES;
+        if (mayOvertake && fits(bytes)) {
             reserve(id, bytes);
             return true;
         }
@@ -67,8 +70,8 @@
     }
 
     /**
-     * Reserves more bytes under an id without waiting, even past the budget: for the body of a
-     * response, whose size is known only once it has arrived.
+     * Reserves further bytes for an id at once, even beyond the budget. Used for the body of a
+     * response, whose size is known only after it has arrived.
      */
     public void reserve(long id, long bytes) {
         reservedBytes += bytes;
@@ -76,11 +79,13 @@
     }
 
     /**
-     * Returns all bytes of an id, reserved or waiting.
+     * Releases all reserved bytes of an id, removes its queued reservations, and reserves the bytes
+     * of the queued bodies that now fit.
      *
-     * @param granted receives the id of each waiting body that is reserved by this, in order
+     * @param onReserved receives the id of each queued body whose bytes have been reserved, in
+     *     queue order
      */
-    public void release(long id, LongConsumer granted) {
+    public void release(long id, LongConsumer onReserved) {
         pending.removeIf(reservation -> reservation.id() == id);
         Long bytes = reservedById.remove(id);
         if (bytes != null) {
@@ -89,7 +94,7 @@
         while (!pending.isEmpty() && fits(pending.peek().bytes())) {
             PendingReservation next = pending.poll();
             reserve(next.id(), next.bytes());
-            granted.accept(next.id());
+            onReserved.accept(next.id());
         }
     }
 
--- a/src/main/java/waytrestle/overload/ConnectionAdmission.java
+++ b/src/main/java/waytrestle/overload/ConnectionAdmission.java
@@ -4,30 +4,31 @@
 import java.util.Map;
 
 /**
- * Admits connections up to a total, and up to a limit for each source network, counted by address
- * prefix. A trusted network is bound by the total alone; a barred one is never admitted.
+ * Admits client connections up to a total limit and up to a limit for each source network. A source
+ * network is an address prefix. Connections from trusted sources are subject only to the total
+ * limit; those from barred sources are never admitted.
  *
- * <p>Guards against one source that takes all connections, idle, slow or half-open, whether it
- * means harm or not.
+ * <p>Guards against a single source, malicious or not, that occupies all connections with idle,
+ * slow or half-open ones.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class ConnectionAdmission {
     /** Why a connection is rejected. */
     public enum Reason {
-        /** All connections are taken. */
+        /** The total limit is reached. */
         TOTAL,
-        /** All connections of its source network are taken. */
+        /** The limit of the source network is reached. */
         NETWORK,
-        /** Its source is on the list of barred ones. */
+        /** The source is on the configured list of barred addresses. */
         BARRED
     }
 
     /** How the configured address lists classify a source. */
     public enum TrustLevel {
-        /** Exempt from the limit of its network. */
+        /** Exempt from the limit of the source network. */
         TRUSTED,
-        /** On no list. */
+        /** Neither trusted nor barred. */
         ORDINARY,
         /** Never admitted. */
         BARRED
@@ -38,21 +39,27 @@
     private final Map<String, Integer> connectionsByNetwork = new HashMap<>();
     private int connections;
 
-    /** An admission without open connections. */
+    /**
+     * Creates an admission without open connections.
+     *
+     * @param maxConnections total limit of open connections
+     * @param maxPerNetwork limit of open connections from one source network
+     */
     public ConnectionAdmission(int maxConnections, int maxPerNetwork) {
         this.maxConnections = maxConnections;
         this.maxPerNetwork = maxPerNetwork;
     }
 
-    /** The number of open connections. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return connections;
     }
 
     /**
-     * Admits a connection where the limits allow it.
+     * Admits a connection if its source and the limits allow it.
      *
-     * @return null where it is admitted, else why it is rejected
+     * @param network address prefix of the source
+     * @return null if the connection is admitted, else the reason for its rejection
      */
     public Reason tryAdmit(String network, TrustLevel trustLevel) {
         if (trustLevel == TrustLevel.BARRED) {
@@ -61,19 +68,19 @@
         if (connections >= maxConnections) {
             return Reason.TOTAL;
         }
-        int ofNetwork = connectionsByNetwork.getOrDefault(network, 0);
-        if (trustLevel == TrustLevel.ORDINARY && ofNetwork >= maxPerNetwork) {
+        int networkConnections = connectionsByNetwork.getOrDefault(network, 0);
+        if (trustLevel == TrustLevel.ORDINARY && networkConnections >= maxPerNetwork) {
             return Reason.NETWORK;
         }
-        connectionsByNetwork.put(network, ofNetwork + 1);
+        connectionsByNetwork.put(network, networkConnections + 1);
         connections++;
         return null;
     }
 
-    /** Records that an admitted connection of this network was closed. */
+    /** Records that an admitted connection from the given network was closed. */
     public void release(String network) {
         connections--;
         connectionsByNetwork.computeIfPresent(
-                network, (name, count) -> count > 1 ? count - 1 : null);
+                network, (prefix, count) -> count > 1 ? count - 1 : null);
     }
 }
--- a/src/main/java/waytrestle/overload/FunctionLatencies.java
+++ b/src/main/java/waytrestle/overload/FunctionLatencies.java
@@ -3,19 +3,21 @@
 import java.util.Map;
 
 /**
- * The response time of each function when its requests do not queue, estimated from the quickest
- * responses seen.
+ * Estimates the baseline latency of each function: its response time when requests do not queue. A
+ * quicker response lowers the baseline; otherwise the baseline grows slowly with time.
  *
- * <p>The functions not used for the longest time are forgotten first. Not thread-safe: used by the
- * controller's event loop.
+ * <p>Beyond {@link #MAX_FUNCTIONS} functions, the baseline of the least recently used function is
+ * dropped.
+ *
+ * <p>Not thread-safe: used by the controller's event loop.
  */
 final class FunctionLatencies {
-    /** Bounds the memory that many function names can take. */
+    /** Maximum functions with a baseline; bounds the memory that many function names can take. */
     private static final int MAX_FUNCTIONS = 4_096;
 
     /**
-     * Quicker functions count as this quick: what delays them for a few milliseconds is a pause of
-     * some process, not a queue.
+     * Smallest baseline that a response time is compared with. A delay of a few milliseconds is a
+     * pause of some process, not queueing, and must not raise the ratio of a quick function.
      */
     private static final double MIN_BASELINE_MICROS = 25_000;
 
@@ -23,32 +25,34 @@
     private static final double DECREASE_WEIGHT = 0.1;
 
     /**
-     * Fraction by which the baseline grows in a second of slower responses. It grows by time and
-     * not by responses, or a backlog would pass for the baseline within seconds.
+     * Fraction by which the baseline grows per second while no response is quicker than it. Growth
+     * per response instead of per second would turn the latency of a backlog into the baseline
+     * within seconds.
      */
     private static final double GROWTH_PER_SECOND = 0.02;
 
-    /** Longest time without a response that counts as growth. */
+    /** Maximum time between two responses for which the baseline grows. */
     private static final double MAX_GROWTH_SECONDS = 1;
 
+    /** The baseline latency of one function. */
     private static final class Baseline {
-        /** Value of {@link #updatedAt} before the first response. */
+        /** Value of {@link #updatedAtMicros} before the first response. */
         static final long NEVER = 0;
 
         double latencyMicros;
-        long updatedAt = NEVER;
+        long updatedAtMicros = NEVER;
 
         void update(long nowMicros, long responseMicros) {
-            if (updatedAt == NEVER) {
+            if (updatedAtMicros == NEVER) {
                 latencyMicros = Math.max(1, responseMicros);
             } else if (responseMicros < latencyMicros) {
                 latencyMicros += DECREASE_WEIGHT * (responseMicros - latencyMicros);
             } else {
-                double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - updatedAt);
+                double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - updatedAtMicros);
                 latencyMicros *=
                         1 + GROWTH_PER_SECOND * Math.min(MAX_GROWTH_SECONDS, elapsedSeconds);
             }
-            updatedAt = nowMicros;
+            updatedAtMicros = nowMicros;
         }
 
         double ratio(long responseMicros) {
@@ -59,11 +63,11 @@
     private final Map<String, Baseline> baselines = BoundedMap.inAccessOrder(MAX_FUNCTIONS);
 
     /**
-     * Learns from a response time and returns it as a multiple of the function's baseline: about 1
-     * where the request did not queue.
+     * Updates the function's baseline with a response time and returns the ratio of the response
+     * time to the baseline: about 1, or less, if the request did not queue.
      */
     double recordAndGetRatio(long nowMicros, String function, long responseMicros) {
-        Baseline baseline = baselines.computeIfAbsent(function, name -> new Baseline());
+        Baseline baseline = baselines.computeIfAbsent(function, newFunction -> new Baseline());
         baseline.update(nowMicros, responseMicros);
         return baseline.ratio(responseMicros);
     }
--- a/src/main/java/waytrestle/overload/MicrosecondTime.java
+++ b/src/main/java/waytrestle/overload/MicrosecondTime.java
@@ -1,6 +1,6 @@
 package waytrestle.overload;
 
-/** Conversion of the microsecond times that this package is given. */
+/** Converts times and durations in microseconds, the unit used throughout the package. */
 final class MicrosecondTime {
     private static final double MICROS_PER_SECOND = 1e6;
 
--- a/src/main/java/waytrestle/overload/OverloadControl.java
+++ b/src/main/java/waytrestle/overload/OverloadControl.java
@@ -7,9 +7,9 @@
 import waytrestle.scheduler.SchedulerSettings.Tenant;
 
 /**
- * Sheds load in a fixed order: requests beyond a tenant's own limits, then retries beyond their
- * budget, then requests of tenants beyond their quota, those of the lowest priority weight first.
- * What passes is handed to the scheduler.
+ * Sheds load by three checks in a fixed order: requests beyond the limits set for their tenant,
+ * then clients' retries beyond the retry budget, then requests of tenants beyond their quota, those
+ * of the lowest priority weight first. Requests that pass all checks are handed to the scheduler.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -18,9 +18,10 @@
      * Settings of overload protection.
      *
      * @param enabled whether load is shed at all
-     * @param minInFlight least requests in flight that are always allowed
-     * @param retryRatio retries allowed for each first request
-     * @param minRetriesPerSecond further retries that are always allowed
+     * @param minInFlight lower bound of the concurrency limit, in requests in flight
+     * @param retryRatio retries allowed per first request
+     * @param minRetriesPerSecond retries per second that are allowed in addition, whatever the
+     *     number of first requests
      */
     public record Settings(
             boolean enabled, int minInFlight, double retryRatio, double minRetriesPerSecond) {}
@@ -31,10 +32,12 @@
     private int inFlight;
 
     /**
-     * A control without requests in flight.
+     * Creates an overload control without requests in flight.
      *
-     * @param maxInFlight requests that may be in flight at most, however quick responses are
-     * @param tenantLimits limits of the tenants in the same order
+     * @param maxInFlight upper bound of the concurrency limit, in requests in flight
+     * @param tenants the configured tenants; may be empty
+     * @param tenantLimits limits of the tenants, in the order of {@code tenants}
+     * @param classes the configured request classes
      */
     public OverloadControl(
             Settings settings,
@@ -48,7 +51,7 @@
         this.retryBudget = new RetryBudget(settings.retryRatio(), settings.minRetriesPerSecond());
     }
 
-    /** The number of requests that may be in flight now. */
+    /** Returns the number of requests that may be in flight. */
     public int concurrencyLimit() {
         return concurrencyLimit.limit();
     }
--- a/src/main/java/waytrestle/overload/RetryBudget.java
+++ b/src/main/java/waytrestle/overload/RetryBudget.java
@@ -3,32 +3,34 @@
 import java.util.Map;
 
 /**
- * Bounds the load that retries add, those of clients and the gateway's own: every first request
- * deposits a fixed fraction of a retry, every retry withdraws a whole one, and a small constant
- * rate is always deposited so that sparse traffic can be retried. After Finagle's retry budgets and
- * "Metastable Failures in Distributed Systems" (Bronson et al., HotOS 2021).
+ * Bounds the load that retries by clients and by the gateway add. The balance is counted in
+ * retries: every first request deposits a fixed fraction of a retry, every retry withdraws one, and
+ * a small constant rate is deposited without any request so that sparse traffic can be retried. The
+ * budget follows Finagle's retry budgets and "Metastable Failures in Distributed Systems" (Bronson
+ * et al., HotOS 2021).
  *
- * <p>Guards against a retry storm that sustains itself: an outage ends, but the retries it caused
- * keep the fleet overloaded.
+ * <p>Guards against a self-sustaining retry storm: the retries that an outage caused keep the fleet
+ * overloaded after the outage has ended.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class RetryBudget {
     /**
-     * Seconds of deposits that are saved: enough for a short outage's retries, not a long one's.
+     * Upper bound of the balance, as seconds of deposits: enough for the retries of a short outage,
+     * not of a long one.
      */
     private static final double MAX_SAVED_SECONDS = 10;
 
-    /** Rejected requests that are recognised when they are sent again; the eldest goes first. */
+    /** Maximum rejected requests whose retries are recognised; the eldest is dropped first. */
     private static final int MAX_REJECTED_REQUESTS = 20_000;
 
-    /** Time for which a rejected request is recognised; later it counts as a first request. */
+    /** Time after a rejection within which the request, sent again, counts as a retry. */
     private static final long RECOGNITION_MICROS = 30_000_000;
 
-    /** Fingerprint of a request that has none. */
+    /** Fingerprint value of a request without a fingerprint; such a request is never a retry. */
     private static final long NO_FINGERPRINT = 0;
 
-    /** Value of {@link #updatedAt} before the first update. */
+    /** Value of {@link #updatedAtMicros} before the first update. */
     private static final long NEVER = 0;
 
     private final double retryRatio;
@@ -37,16 +39,16 @@
             BoundedMap.inInsertionOrder(MAX_REJECTED_REQUESTS);
     private double balance;
 
-    /** Deposits with an exponential decay over one second, which sums up a second of them. */
+    /** Deposits of first requests, in retries, decayed with a time constant of one second. */
     private double depositsPerSecond;
 
-    private long updatedAt = NEVER;
+    private long updatedAtMicros = NEVER;
 
     /**
-     * A budget that starts with the constant rate's savings.
+     * Creates a budget whose balance starts at its upper bound without first requests.
      *
      * @param retryRatio fraction of a retry that each first request deposits
-     * @param minRetriesPerSecond retries that are deposited each second without any request
+     * @param minRetriesPerSecond retries deposited per second without any request
      */
     public RetryBudget(double retryRatio, double minRetriesPerSecond) {
         this.retryRatio = retryRatio;
@@ -54,16 +56,16 @@
         this.balance = minRetriesPerSecond * MAX_SAVED_SECONDS;
     }
 
-    /** Whether this is a client's retry of a request that was rejected not long ago. */
+    /** Returns whether a request repeats, by its fingerprint, a recently rejected request. */
     public boolean isRetry(long nowMicros, long fingerprint) {
         if (fingerprint == NO_FINGERPRINT) {
             return false;
         }
-        Long rejectedAt = rejectedAtByFingerprint.get(fingerprint);
-        return rejectedAt != null && nowMicros - rejectedAt < RECOGNITION_MICROS;
+        Long rejectedAtMicros = rejectedAtByFingerprint.get(fingerprint);
+        return rejectedAtMicros != null && nowMicros - rejectedAtMicros < RECOGNITION_MICROS;
     }
 
-    /** Records a rejected request, so that its retry is recognised. */
+    /** Records a rejected request, so that {@link #isRetry} recognises its retry. */
     public void recordRejection(long nowMicros, long fingerprint) {
         if (fingerprint == NO_FINGERPRINT) {
             return;
@@ -72,16 +74,16 @@
         rejectedAtByFingerprint.put(fingerprint, nowMicros);
     }
 
-    /** Records a first request, which pays for its fraction of a retry. */
+    /** Deposits the fraction of a retry that a first request contributes. */
     public void deposit(long nowMicros) {
-        update(nowMicros);
+        updateBalance(nowMicros);
         balance += retryRatio;
         depositsPerSecond += retryRatio;
     }
 
-    /** Takes one retry from the budget, or returns false where less than one is left. */
+    /** Withdraws one retry, or returns false if the balance is less than one retry. */
     public boolean tryWithdraw(long nowMicros) {
-        update(nowMicros);
+        updateBalance(nowMicros);
         if (balance < 1) {
             return false;
         }
@@ -89,14 +91,14 @@
         return true;
     }
 
-    private void update(long nowMicros) {
-        if (updatedAt != NEVER) {
-            double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - updatedAt);
+    private void updateBalance(long nowMicros) {
+        if (updatedAtMicros != NEVER) {
+            double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - updatedAtMicros);
             balance += minRetriesPerSecond * elapsedSeconds;
             depositsPerSecond *= Math.exp(-elapsedSeconds);
         }
-        updatedAt = nowMicros;
-        double savedPerSecond = minRetriesPerSecond + depositsPerSecond;
-        balance = Math.min(balance, MAX_SAVED_SECONDS * savedPerSecond);
+        updatedAtMicros = nowMicros;
+        double totalDepositsPerSecond = minRetriesPerSecond + depositsPerSecond;
+        balance = Math.min(balance, MAX_SAVED_SECONDS * totalDepositsPerSecond);
     }
 }
--- a/src/main/java/waytrestle/overload/StartupPreloadLimit.java
+++ b/src/main/java/waytrestle/overload/StartupPreloadLimit.java
@@ -1,42 +1,44 @@
 package waytrestle.overload;
 
 /**
- * Limits the preload requests of a controller that has just started, where preloads are limited at
- * all. What an earlier incarnation requested within the current period is not known, and it may
- * have used all free preloads; so until one period has passed, only the preloads that come with
- * requests accepted since the start are allowed. From then on the scheduler keeps the limit alone.
+ * Limits the preload requests of a controller during the first preload period after its start. The
+ * controller does not know which preloads its previous process requested within the current period;
+ * that process may have used all preloads allowed without requests. Therefore only the preloads
+ * earned by requests accepted since the start are allowed until one period has passed. From then
+ * on, the scheduler alone enforces the preload limit.
  *
- * <p>Guards the preload limit against restarts. It can delay the first preloads of a controller
- * that has no earlier incarnation.
+ * <p>Guards against preloads beyond the limit after a restart. The first preloads of a controller
+ * without a previous process can be delayed.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class StartupPreloadLimit {
-    private final long startedAt;
+    private final long startedAtMicros;
     private final long periodMicros;
     private final double preloadsPerRequest;
     private int acceptedRequests;
     private int acquiredPreloads;
 
     /**
-     * A limit that holds for one period from now on.
+     * Creates a limit that applies for one period from the given time.
      *
-     * @param periodMicros time over which preloads are limited; 0 where they are not limited
+     * @param periodMicros time over which preloads are counted; 0 if preloads are not limited
+     * @param preloadsPerRequest preloads that each accepted request allows, usually a fraction
      */
     public StartupPreloadLimit(long nowMicros, long periodMicros, double preloadsPerRequest) {
-        this.startedAt = nowMicros;
+        this.startedAtMicros = nowMicros;
         this.periodMicros = periodMicros;
         this.preloadsPerRequest = preloadsPerRequest;
     }
 
-    /** Records an accepted request, which allows its fraction of a preload. */
+    /** Records an accepted request, which allows {@code preloadsPerRequest} preloads. */
     public void requestAccepted(long nowMicros) {
         if (!hasExpired(nowMicros)) {
             acceptedRequests++;
         }
     }
 
-    /** Takes one preload from the limit, or returns false where it is used up. */
+    /** Acquires one preload, or returns false if the accepted requests allow no further preload. */
     public boolean tryAcquire(long nowMicros) {
         boolean allowed =
                 hasExpired(nowMicros)
@@ -48,6 +50,6 @@
     }
 
     private boolean hasExpired(long nowMicros) {
-        return nowMicros - startedAt > periodMicros;
+        return nowMicros - startedAtMicros > periodMicros;
     }
 }
--- a/src/main/java/waytrestle/overload/TenantQuotas.java
+++ b/src/main/java/waytrestle/overload/TenantQuotas.java
@@ -6,33 +6,40 @@
 import waytrestle.scheduler.SchedulerSettings.Tenant;
 
 /**
- * Divides the concurrency limit among tenants. Each tenant may always fill its quota of the limit;
- * what others leave is lent, but only up to a fraction of the limit that is smaller for classes of
- * lower priority weight, so that a tenant below its quota finds capacity at once. Quotas follow the
- * fleet's capacity because the limit does; no controller needs to know another's traffic.
+ * Divides the concurrency limit among tenants. Each tenant may always use its quota of the limit.
+ * Beyond its quota, a tenant borrows capacity that other tenants leave unused, but only while all
+ * requests in flight are below a fraction of the limit. That fraction is smaller for request
+ * classes of lower priority weight, and always less than 1, so that a tenant below its quota finds
+ * capacity at once. Quotas follow the fleet's capacity because the concurrency limit does; no
+ * controller needs to know the traffic of another.
  *
- * <p>Guards against one tenant's overload, a runaway client or a retry storm, that takes the
- * service of the others.
+ * <p>Guards against one tenant's overload, such as a runaway client or a retry storm, that denies
+ * service to the other tenants.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class TenantQuotas {
     /**
-     * Fraction of the limit up to which the class of the highest priority weight borrows: the rest
-     * is for tenants below their quota.
+     * Fraction of the concurrency limit up to which the class of the highest priority weight
+     * borrows. The rest is left to tenants below their quota.
      */
     private static final double MAX_BORROWING_FRACTION = 0.75;
 
-    /** Fraction of the limit up to which a class of priority weight 0 borrows. */
+    /** Fraction of the concurrency limit up to which a class of priority weight 0 borrows. */
     private static final double MIN_BORROWING_FRACTION = 0.45;
 
-    /** Requests that a tenant may have in flight even where its quota of the limit is less. */
+    /** Requests that a tenant may have in flight even if its quota of the limit is smaller. */
     private static final int MIN_QUOTA_REQUESTS = 1;
 
-    /** Index of the tenant that requests without a known one count for. */
+    /** Index of the tenant to which requests with an unknown tenant are counted. */
     private static final int DEFAULT_TENANT = 0;
 
-    /** Limits that a tenant has at this controller whatever the load; 0 for none. */
+    /**
+     * Limits of one tenant's requests at one controller, independent of the load.
+     *
+     * @param maxRequestsPerSecond limit of the request rate; 0 for none
+     * @param maxInFlight limit of the requests in flight; 0 for none
+     */
     public record TenantLimits(double maxRequestsPerSecond, int maxInFlight) {
         private static final TenantLimits NONE = new TenantLimits(0, 0);
 
@@ -45,23 +52,24 @@
         }
     }
 
+    /** The quota and limits of one tenant, and its use of them. */
     private static final class TenantUsage {
         final double quota;
-        final TenantLimits limit;
-        final TokenBucket rate;
+        final TenantLimits limits;
+        final TokenBucket requestTokens;
         int inFlight;
 
-        TenantUsage(double quota, TenantLimits limit) {
+        TenantUsage(double quota, TenantLimits limits) {
             this.quota = quota;
-            this.limit = limit;
-            this.rate = new TokenBucket(limit.maxRequestsPerSecond());
+            this.limits = limits;
+            this.requestTokens = new TokenBucket(limits.maxRequestsPerSecond());
         }
 
         boolean exceedsLimit(long nowMicros) {
-            if (limit.limitsInFlight() && inFlight >= limit.maxInFlight()) {
+            if (limits.limitsInFlight() && inFlight >= limits.maxInFlight()) {
                 return true;
             }
-            return limit.limitsRate() && !rate.tryTake(nowMicros);
+            return limits.limitsRate() && !requestTokens.tryTake(nowMicros);
         }
 
         boolean isBelowQuota(int concurrencyLimit) {
@@ -73,29 +81,32 @@
     private final double[] borrowingFractionByClass;
 
     /**
-     * Quotas of tenants without requests.
+     * Creates quotas for tenants without requests in flight.
      *
-     * @param tenants the configured tenants; one that has the whole limit where there are none
-     * @param limits the limits of the tenants in the same order; those past its end have none
+     * @param tenants the configured tenants; if empty, one tenant has the whole concurrency limit
+     * @param limits the limits of the tenants, in the order of {@code tenants}; tenants beyond the
+     *     end of the list have no limits
      * @param classes the configured request classes
      */
     public TenantQuotas(
             List<Tenant> tenants, List<TenantLimits> limits, List<RequestClass> classes) {
-        this.usages = unusedQuotas(tenants, limits);
+        this.usages = createUsages(tenants, limits);
         this.borrowingFractionByClass = borrowingFractions(classes);
     }
 
-    private static List<TenantUsage> unusedQuotas(List<Tenant> tenants, List<TenantLimits> limits) {
-        int count = Math.max(1, tenants.size());
+    private static List<TenantUsage> createUsages(List<Tenant> tenants, List<TenantLimits> limits) {
+        int tenantCount = Math.max(1, tenants.size());
         double quotaSum = tenants.stream().mapToDouble(Tenant::quota).sum();
-        List<TenantUsage> usages = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            // Quotas that sum up to less than 1 are not scaled up: the rest of the limit is lent.
+        List<TenantUsage> usages = new ArrayList<>(tenantCount);
+        for (int i = 0; i < tenantCount; i++) {
+            // Quotas with a sum below 1 are not scaled up: any tenant may borrow the remainder.
             boolean equalQuotas = quotaSum <= 0;
             double quota =
-                    equalQuotas ? 1.0 / count : tenants.get(i).quota() / Math.max(1, quotaSum);
-            TenantLimits limit = i < limits.size() ? limits.get(i) : TenantLimits.NONE;
-            usages.add(new TenantUsage(quota, limit));
+                    equalQuotas
+                            ? 1.0 / tenantCount
+                            : tenants.get(i).quota() / Math.max(1, quotaSum);
+            TenantLimits tenantLimits = i < limits.size() ? limits.get(i) : TenantLimits.NONE;
+            usages.add(new TenantUsage(quota, tenantLimits));
         }
         return usages;
     }
@@ -104,7 +115,8 @@
         double maxWeight =
                 classes.stream().mapToDouble(RequestClass::priorityWeight).max().orElse(0);
         return classes.stream()
-                .mapToDouble(each -> borrowingFraction(each.priorityWeight(), maxWeight))
+                .mapToDouble(
+                        requestClass -> borrowingFraction(requestClass.priorityWeight(), maxWeight))
                 .toArray();
     }
 
@@ -115,18 +127,19 @@
     }
 
     /**
-     * Whether one more request would exceed a limit of the tenant's own. Where it would not, it
-     * counts towards the tenant's rate.
+     * Returns whether one more request would exceed the limits of the tenant. A request that would
+     * not is counted towards the tenant's request rate.
      */
     public boolean exceedsLimit(long nowMicros, int tenant) {
         return usage(tenant).exceedsLimit(nowMicros);
     }
 
     /**
-     * Whether there is capacity for one more request of the tenant and class.
+     * Returns whether the tenant may have one more request of the class in flight, within its quota
+     * or by borrowing.
      *
-     * @param totalInFlight requests in flight of all tenants
-     * @param concurrencyLimit requests that may be in flight now
+     * @param totalInFlight number of requests in flight, of all tenants
+     * @param concurrencyLimit number of requests that may be in flight, of all tenants
      */
     public boolean hasCapacity(
             int tenant, int requestClass, int totalInFlight, int concurrencyLimit) {
@@ -134,12 +147,12 @@
                 || totalInFlight < borrowingFractionByClass[requestClass] * concurrencyLimit;
     }
 
-    /** Records that a request of the tenant is in flight. */
+    /** Records that one more request of the tenant is in flight. */
     public void requestStarted(int tenant) {
         usage(tenant).inFlight++;
     }
 
-    /** Records that a request of the tenant is no longer in flight. */
+    /** Records that one request of the tenant is no longer in flight. */
     public void requestCompleted(int tenant) {
         usage(tenant).inFlight--;
     }
--- a/src/main/java/waytrestle/overload/TokenBucket.java
+++ b/src/main/java/waytrestle/overload/TokenBucket.java
@@ -1,28 +1,28 @@
 package waytrestle.overload;
 
 /**
- * Limits a rate of requests: tokens accrue with time up to one second's worth, and each request
- * takes one.
+ * Limits a request rate by a token bucket: each request takes one token, and the bucket refills at
+ * a constant rate up to the tokens of one second, at least one token.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class TokenBucket {
-    /** Value of {@link #refilledAt} before the first refill. */
+    /** Value of {@link #refilledAtMicros} before the first refill. */
     private static final long NEVER = 0;
 
     private final double tokensPerSecond;
     private final double maxTokens;
     private double tokens;
-    private long refilledAt = NEVER;
+    private long refilledAtMicros = NEVER;
 
-    /** A bucket that starts with one second's tokens. */
+    /** Creates a bucket that starts with the tokens of one second. */
     TokenBucket(double tokensPerSecond) {
         this.tokensPerSecond = tokensPerSecond;
         this.maxTokens = Math.max(1, tokensPerSecond);
         this.tokens = tokensPerSecond;
     }
 
-    /** Takes a token, or returns false where there is none. */
+    /** Takes one token, or returns false if there is less than one. */
     boolean tryTake(long nowMicros) {
         refill(nowMicros);
         if (tokens < 1) {
@@ -33,10 +33,10 @@
     }
 
     private void refill(long nowMicros) {
-        if (refilledAt != NEVER) {
-            double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - refilledAt);
+        if (refilledAtMicros != NEVER) {
+            double elapsedSeconds = MicrosecondTime.toSeconds(nowMicros - refilledAtMicros);
             tokens = Math.min(maxTokens, tokens + elapsedSeconds * tokensPerSecond);
         }
-        refilledAt = nowMicros;
+        refilledAtMicros = nowMicros;
     }
 }
