--- a/src/main/java/waytrestle/Bytes.java
+++ b/src/main/java/waytrestle/Bytes.java
@@ -10,12 +10,16 @@
 import java.util.List;
 
 /**
- * Bytes in segments, as they came off a socket, never changed once made. A large body is kept, cut
- * and written on without being joined into one array; the segments are shared, not copied.
+ * An immutable sequence of bytes, stored in segments as they were read from a socket. A large body
+ * is stored, sliced and forwarded without being copied into one array; slices share the segments.
+ *
+ * <p>Thread-safe as long as no caller changes an array that was passed in or returned.
  */
 public final class Bytes {
+    /** The sequence without bytes. */
     public static final Bytes NONE = new Bytes(List.of(), 0);
 
+    /** The bytes of an array from an index on; the array may be shared with other segments. */
     private record Segment(byte[] array, int from, int length) {}
 
     private final List<Segment> segments;
@@ -26,53 +30,71 @@
         this.size = size;
     }
 
-    /** The array is handed over. */
+    /** Returns the bytes of an array, which is not copied and must not be changed afterwards. */
     public static Bytes of(byte[] array) {
         return array.length == 0
                 ? NONE
                 : new Bytes(List.of(new Segment(array, 0, array.length)), array.length);
     }
 
-    /** Arrays in order, of which the last is filled up to a length; they are handed over. */
+    /**
+     * Returns the bytes of several arrays in order. The arrays are not copied and must not be
+     * changed afterwards.
+     *
+     * @param lastLength number of bytes used of the last array; all others are used whole
+     */
     public static Bytes of(List<byte[]> arrays, int lastLength) {
-        List<Segment> made = new ArrayList<>(arrays.size());
+        List<Segment> newSegments = new ArrayList<>(arrays.size());
         long size = 0;
         for (int i = 0; i < arrays.size(); i++) {
             int length = i == arrays.size() - 1 ? lastLength : arrays.get(i).length;
             if (length > 0) {
-                made.add(new Segment(arrays.get(i), 0, length));
+                newSegments.add(new Segment(arrays.get(i), 0, length));
                 size += length;
             }
         }
-        return size == 0 ? NONE : new Bytes(made, size);
+        return size == 0 ? NONE : new Bytes(newSegments, size);
     }
 
+    /** Returns the number of bytes. */
     public long size() {
         return size;
     }
 
-    /** Bytes from one place to before another, sharing the segments. */
+    /**
+     * Returns the bytes from one position to another, sharing the arrays.
+     *
+     * @param from position of the first byte
+     * @param to position after the last byte
+     * @throws IndexOutOfBoundsException if the range is not within the bytes
+     */
     public Bytes slice(long from, long to) {
         if (from < 0 || to > size || from > to) {
-            throw new IndexOutOfBoundsException(from + " to " + to + " of " + size);
+            throw new IndexOutOfBoundsException(
+                    "invalid range from " + from + " to " + to + " of " + size + " bytes");
         }
-        List<Segment> made = new ArrayList<>();
-        long at = 0;
-        for (Segment s : segments) {
-            long start = Math.max(from, at);
-            long end = Math.min(to, at + s.length());
+        List<Segment> newSegments = new ArrayList<>();
+        long position = 0;
+        for (Segment segment : segments) {
+            long start = Math.max(from, position);
+            long end = Math.min(to, position + segment.length());
             if (start < end) {
-                made.add(
-                        new Segment(s.array(), s.from() + (int) (start - at), (int) (end - start)));
+                newSegments.add(
+                        new Segment(
+                                segment.array(),
+                                segment.from() + (int) (start - position),
+                                (int) (end - start)));
             }
-            at += s.length();
+            position += segment.length();
         }
-        return from == to ? NONE : new Bytes(made, to - from);
+        return from == to ? NONE : new Bytes(newSegments, to - from);
     }
 
     /**
-     * All in one array, which is the segment itself where there is just one whole one; not to be
-     * changed.
+     * Returns all bytes in one array, which the caller must not change: it is the stored array, not
+     * a copy, if a single segment covers its whole array.
+     *
+     * @throws ArithmeticException if there are more bytes than an array can hold
      */
     public byte[] array() {
         if (segments.size() == 1
@@ -81,68 +103,83 @@
             return segments.get(0).array();
         }
         byte[] all = new byte[Math.toIntExact(size)];
-        int at = 0;
-        for (Segment s : segments) {
-            System.arraycopy(s.array(), s.from(), all, at, s.length());
-            at += s.length();
+        int position = 0;
+        for (Segment segment : segments) {
+            System.arraycopy(segment.array(), segment.from(), all, position, segment.length());
+            position += segment.length();
         }
         return all;
     }
 
-    /** New buffers over the segments, for writing. */
+    /** Returns new buffers that share the segments' arrays, for writing the bytes to a channel. */
     public List<ByteBuffer> buffers() {
-        List<ByteBuffer> all = new ArrayList<>(segments.size());
-        for (Segment s : segments) {
-            all.add(ByteBuffer.wrap(s.array(), s.from(), s.length()));
+        List<ByteBuffer> buffers = new ArrayList<>(segments.size());
+        for (Segment segment : segments) {
+            buffers.add(ByteBuffer.wrap(segment.array(), segment.from(), segment.length()));
         }
-        return all;
+        return buffers;
     }
 
-    /** The segments as one stream. */
+    /** Returns a new stream of all bytes. */
     public InputStream stream() {
-        List<InputStream> all = new ArrayList<>(segments.size());
-        for (Segment s : segments) {
-            all.add(new ByteArrayInputStream(s.array(), s.from(), s.length()));
+        List<InputStream> streams = new ArrayList<>(segments.size());
+        for (Segment segment : segments) {
+            streams.add(
+                    new ByteArrayInputStream(segment.array(), segment.from(), segment.length()));
         }
-        return all.size() == 1 ? all.get(0) : new SequenceInputStream(Collections.enumeration(all));
+        return streams.size() == 1
+                ? streams.get(0)
+                : new SequenceInputStream(Collections.enumeration(streams));
     }
 
-    /** Reads forward from the beginning. */
+    /** Returns a cursor at the first byte. */
     public Cursor cursor() {
         return new Cursor();
     }
 
-    /** A place that moves forward over the segments. */
+    /** A reading position that moves forward over the bytes. Not thread-safe. */
     public final class Cursor {
-        private int segment, offset;
-        private long at;
+        private int segmentIndex;
+
+        /** Number of bytes of the current segment before the cursor. */
+        private int offset;
+
+        /** Number of bytes of the whole sequence before the cursor. */
+        private long position;
 
+        /** Returns the number of bytes after the cursor. */
         public long remaining() {
-            return size - at;
+            return size - position;
         }
 
-        public void skip(long n) {
-            if (n < 0 || n > remaining()) {
-                throw new IndexOutOfBoundsException("past the end");
+        /**
+         * Moves the cursor forward by a number of bytes.
+         *
+         * @throws IndexOutOfBoundsException if fewer bytes remain, or the number is negative
+         */
+        public void skip(long count) {
+            if (count < 0 || count > remaining()) {
+                throw new IndexOutOfBoundsException(
+                        "cannot skip " + count + " bytes: " + remaining() + " remain");
             }
-            at += n;
-            while (n > 0) {
-                int here = (int) Math.min(n, segments.get(segment).length() - offset);
-                offset += here;
-                n -= here;
-                if (offset == segments.get(segment).length()) {
-                    segment++;
+            position += count;
+            while (count > 0) {
+                int skipped = (int) Math.min(count, segments.get(segmentIndex).length() - offset);
+                offset += skipped;
+                count -= skipped;
+                if (offset == segments.get(segmentIndex).length()) {
+                    segmentIndex++;
                     offset = 0;
                 }
             }
         }
 
-        /** The next four bytes as a little-endian number. */
+        /** Reads the next four bytes as a little-endian integer and moves the cursor past them. */
         public int readLittleEndianInt() {
             int value = 0;
             for (int i = 0; i < 4; i++) {
-                Segment s = segments.get(segment);
-                value |= (s.array()[s.from() + offset] & 0xFF) << (8 * i);
+                Segment segment = segments.get(segmentIndex);
+                value |= (segment.array()[segment.from() + offset] & 0xFF) << (8 * i);
                 skip(1);
             }
             return value;
@@ -150,8 +187,8 @@
     }
 
     @Override
-    public boolean equals(Object o) {
-        return o instanceof Bytes other
+    public boolean equals(Object object) {
+        return object instanceof Bytes other
                 && size == other.size
                 && Arrays.equals(array(), other.array());
     }
--- a/src/main/java/waytrestle/Main.java
+++ b/src/main/java/waytrestle/Main.java
@@ -5,12 +5,16 @@
 import waytrestle.platform.PlatformController;
 
 /**
- * The program's entry. The bench's adapter and the platform's controller are started without
- * touching the command line's library.
+ * Entry point of the program. The benchmark adapter and the platform controller start without
+ * loading the command-line library.
  */
 public final class Main {
     private Main() {}
 
+    /**
+     * Starts the benchmark adapter for the single argument {@code wirehost}, the platform
+     * controller for {@code platform}, and the command line for all other arguments.
+     */
     public static void main(String[] args) throws InterruptedException {
         if (args.length == 1 && args[0].equals("wirehost")) {
             BenchAdapter.main(args);
--- a/src/main/java/waytrestle/forecast/LeastLossForecaster.java
+++ b/src/main/java/waytrestle/forecast/LeastLossForecaster.java
@@ -3,52 +3,62 @@
 import java.util.List;
 
 /**
- * Several methods side by side; the one with the least pinball loss of late is believed. Nothing is
- * said while none of them knows. Guards against a method that suits another history: functions
- * differ, and one may change its habit.
+ * Runs several forecasting methods in parallel and returns the forecast of the one with the least
+ * recent pinball loss. There is no forecast while no method has one.
+ *
+ * <p>Guards against a method that does not suit the request history: functions differ, and the
+ * pattern of one function may change.
  */
 public final class LeastLossForecaster implements Forecaster {
-    // ---- Tuned numbers. ----
-    private static final double NEWS =
-            0.01; // weight of a bucket's loss: some hundred count, so that chance does not choose
+    /**
+     * Weight of one bucket in a method's mean loss: about the last hundred buckets count, so that
+     * the selection does not follow chance.
+     */
+    private static final double LOSS_WEIGHT = 0.01;
 
     private final List<Forecaster> methods;
-    private final double[] loss;
-    private final boolean[] judged;
+    private final double[] meanLosses;
+    private final boolean[] hasLoss;
 
+    /**
+     * Creates a forecaster without history.
+     *
+     * @param methods methods to select from, themselves without history
+     */
     public LeastLossForecaster(List<Forecaster> methods) {
         this.methods = List.copyOf(methods);
-        this.loss = new double[methods.size()];
-        this.judged = new boolean[methods.size()];
+        this.meanLosses = new double[methods.size()];
+        this.hasLoss = new boolean[methods.size()];
     }
 
-    /** All methods that there are. */
-    public static LeastLossForecaster ofAllMethods(SeasonalCalendar season) {
+    /** Returns a forecaster that selects from all forecasting methods of this package. */
+    public static LeastLossForecaster ofAllMethods(SeasonalCalendar calendar) {
         return new LeastLossForecaster(
                 List.of(
-                        new SeasonalNaive(season),
-                        new SeasonalSmoothing(season),
-                        new ScaledSeasonalMedian(season)));
+                        new SeasonalNaive(calendar),
+                        new SeasonalSmoothing(calendar),
+                        new ScaledSeasonalMedian(calendar)));
     }
 
     @Override
-    public void observe(long bucket, double calls) {
-        for (int i = 0; i < loss.length; i++) {
-            PredictionInterval told = methods.get(i).forecast(bucket);
-            if (told.known()) {
-                double lost = Forecaster.pinballLoss(told, calls);
-                loss[i] = judged[i] ? loss[i] + NEWS * (lost - loss[i]) : lost;
-                judged[i] = true;
+    public void observe(long bucket, double requestCount) {
+        for (int i = 0; i < meanLosses.length; i++) {
+            PredictionInterval predicted = methods.get(i).forecast(bucket);
+            if (predicted.known()) {
+                double loss = Forecaster.pinballLoss(predicted, requestCount);
+                meanLosses[i] =
+                        hasLoss[i] ? meanLosses[i] + LOSS_WEIGHT * (loss - meanLosses[i]) : loss;
+                hasLoss[i] = true;
             }
-            methods.get(i).observe(bucket, calls);
+            methods.get(i).observe(bucket, requestCount);
         }
     }
 
-    /** The place of the method believed now; -1 for none. */
+    /** Returns the index of the method with the least mean loss, -1 if none has a loss yet. */
     public int selectedMethodIndex() {
         int best = -1;
-        for (int i = 0; i < loss.length; i++) {
-            if (judged[i] && (best < 0 || loss[i] < loss[best])) {
+        for (int i = 0; i < meanLosses.length; i++) {
+            if (hasLoss[i] && (best < 0 || meanLosses[i] < meanLosses[best])) {
                 best = i;
             }
         }
@@ -58,11 +68,11 @@
     @Override
     public PredictionInterval forecast(long bucket) {
         int best = selectedMethodIndex();
-        PredictionInterval told =
+        PredictionInterval interval =
                 best < 0 ? PredictionInterval.UNKNOWN : methods.get(best).forecast(bucket);
-        for (int i = 0; i < loss.length && !told.known(); i++) {
-            told = judged[i] ? methods.get(i).forecast(bucket) : told;
+        for (int i = 0; i < meanLosses.length && !interval.known(); i++) {
+            interval = hasLoss[i] ? methods.get(i).forecast(bucket) : interval;
         }
-        return told;
+        return interval;
     }
 }
--- a/src/main/java/waytrestle/runtime/ProcessSignals.java
+++ b/src/main/java/waytrestle/runtime/ProcessSignals.java
@@ -3,20 +3,26 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Signals to this process; handlers run on a thread of the runtime, not on an event loop. */
+/**
+ * Registers handlers of signals to the current process. Handlers run on a thread of the Java
+ * runtime, not on an event loop.
+ */
 public final class ProcessSignals {
-    /** The name of the signal that asks for a new configuration. */
+    /** Name of the signal that requests a reload of the configuration. */
     public static final String RELOAD = "HUP";
 
-    /** The name of the signal that asks for a graceful shutdown. */
+    /** Name of the signal that requests a graceful shutdown. */
     public static final String SHUTDOWN = "TERM";
 
     private ProcessSignals() {}
 
     /**
-     * Runs a handler at each signal of the name.
+     * Registers a handler that runs at each signal of the given name, and replaces the previous
+     * handler.
      *
-     * @return whether signals come; false where whoever started the process had them ignored
+     * @param name name of the signal without the prefix SIG
+     * @return true if the handler receives the signal, false if the process was started with the
+     *     signal ignored
      */
     public static boolean handle(String name, Runnable handler) {
         return Signal.handle(new Signal(name), signal -> handler.run()) != SignalHandler.SIG_IGN;
--- a/src/main/java/waytrestle/runtime/package-info.java
+++ b/src/main/java/waytrestle/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** What the process hears from the operating system. May be used from any thread. */
+/** Signals from the operating system to the process. May be used from any thread. */
 package waytrestle.runtime;
