--- a/src/test/java/waytrestle/forecast/ForecastTest.java
+++ b/src/test/java/waytrestle/forecast/ForecastTest.java
@@ -12,164 +12,205 @@
 import java.util.function.LongToDoubleFunction;
 import org.junit.jupiter.api.Test;
 
-/** Forecasts, scored by rolling origin on synthetic histories. */
+/**
+ * Tests the forecasters on synthetic histories with buckets of 15 minutes. Each bucket is forecast
+ * from all buckets before it (rolling-origin evaluation).
+ */
 class ForecastTest {
-    private static final SeasonalCalendar SEASON =
+    private static final SeasonalCalendar CALENDAR =
             new SeasonalCalendar(
                     900,
                     List.of(new SeasonalCalendar.SpecialDays("quarter-end", List.of(90L, 181L))));
-    private static final int OF_DAY = 96;
+
+    private static final int BUCKETS_PER_DAY = 96;
 
     /**
-     * Calls a quarter of an hour on a weekday with a rush from eight on, nights and weekends quiet.
+     * Returns the mean number of requests in a bucket: low at nights and weekends, higher from the
+     * start hour to 18:00 on weekdays, with a rush of 90 minutes after the start hour on Mondays.
      */
-    private static double week(long bucket, double start) {
-        long day = Math.floorDiv(bucket, OF_DAY);
-        double hour = Math.floorMod(bucket, OF_DAY) / 4.0;
+    private static double meanRequests(long bucket, double startHour) {
+        long day = Math.floorDiv(bucket, BUCKETS_PER_DAY);
+        double hour = Math.floorMod(bucket, BUCKETS_PER_DAY) / 4.0;
         boolean weekend = Math.floorMod(day + 3, 7L) >= 5;
-        double work = hour > start && hour < 18 ? 40 : 2;
-        double rush =
-                hour >= start && hour < start + 1.5 && Math.floorMod(day + 3, 7L) == 0 ? 160 : 0;
-        return weekend ? 2 : work + rush;
+        double weekdayMean = hour > startHour && hour < 18 ? 40 : 2;
+        double mondayRush =
+                hour >= startHour && hour < startHour + 1.5 && Math.floorMod(day + 3, 7L) == 0
+                        ? 160
+                        : 0;
+        return weekend ? 2 : weekdayMean + mondayRush;
     }
 
+    /** Returns a random count by the normal approximation of a Poisson distribution. */
     private static double poisson(Random random, double mean) {
         return Math.max(0, Math.round(mean + Math.sqrt(mean) * random.nextGaussian()));
     }
 
+    /** Returns request counts by bucket for several load patterns, by the name of the pattern. */
     private static Map<String, LongToDoubleFunction> histories(Random random) {
-        Map<String, LongToDoubleFunction> all = new LinkedHashMap<>();
-        all.put("steady weeks", b -> poisson(random, week(b, 8)));
-        Map<Long, Double> mood = new LinkedHashMap<>();
-        all.put(
-                "busy and quiet days",
-                b ->
+        Map<String, LongToDoubleFunction> histories = new LinkedHashMap<>();
+        histories.put("equal weeks", bucket -> poisson(random, meanRequests(bucket, 8)));
+        Map<Long, Double> factorByDay = new LinkedHashMap<>();
+        histories.put(
+                "random load factor per day",
+                bucket ->
+                        poisson(
+                                random,
+                                meanRequests(bucket, 8)
+                                        * factorByDay.computeIfAbsent(
+                                                Math.floorDiv(bucket, BUCKETS_PER_DAY),
+                                                day -> 0.5 + random.nextDouble() * 1.2)));
+        Map<Long, Double> startHourByDay = new LinkedHashMap<>();
+        histories.put(
+                "random start hour per day",
+                bucket ->
+                        poisson(
+                                random,
+                                meanRequests(
+                                        bucket,
+                                        startHourByDay.computeIfAbsent(
+                                                Math.floorDiv(bucket, BUCKETS_PER_DAY),
+                                                day -> 7.75 + 0.25 * random.nextInt(3)))));
+        histories.put(
+                "linear growth",
+                bucket ->
                         poisson(
                                 random,
-                                week(b, 8)
-                                        * mood.computeIfAbsent(
-                                                Math.floorDiv(b, OF_DAY),
-                                                d -> 0.5 + random.nextDouble() * 1.2)));
-        Map<Long, Double> starts = new LinkedHashMap<>();
-        all.put(
-                "a start that wanders",
-                b ->
+                                meanRequests(bucket, 8) * (1 + bucket / (BUCKETS_PER_DAY * 56.0))));
+        histories.put(
+                "one week of constant low load",
+                bucket ->
                         poisson(
                                 random,
-                                week(
-                                        b,
-                                        starts.computeIfAbsent(
-                                                Math.floorDiv(b, OF_DAY),
-                                                d -> 7.75 + 0.25 * random.nextInt(3)))));
-        all.put("growth", b -> poisson(random, week(b, 8) * (1 + b / (OF_DAY * 56.0))));
-        all.put(
-                "one odd week",
-                b -> poisson(random, Math.floorDiv(b, OF_DAY * 7L) == 6 ? 5 : week(b, 8)));
-        return all;
+                                Math.floorDiv(bucket, BUCKETS_PER_DAY * 7L) == 6
+                                        ? 5
+                                        : meanRequests(bucket, 8)));
+        return histories;
     }
 
-    private static double score(Forecaster f, LongToDoubleFunction history, int days) {
-        double lost = 0;
-        long judged = 0;
-        for (long b = 0; b < (long) days * OF_DAY; b++) {
-            double came = history.applyAsDouble(b);
-            Forecaster.PredictionInterval told =
-                    f.forecast(b); // the origin rolls: each bucket from all before it
-            if (b >= 28L * OF_DAY) {
-                assertTrue(told.known(), "after four weeks it speaks");
-                lost += Forecaster.pinballLoss(told, came);
-                judged++;
+    /** Returns the mean pinball loss per bucket, from the fifth week of the history on. */
+    private static double meanPinballLoss(
+            Forecaster forecaster, LongToDoubleFunction history, int days) {
+        double lossSum = 0;
+        long scoredBuckets = 0;
+        for (long bucket = 0; bucket < (long) days * BUCKETS_PER_DAY; bucket++) {
+            double actualCount = history.applyAsDouble(bucket);
+            Forecaster.PredictionInterval predicted = forecaster.forecast(bucket);
+            if (bucket >= 28L * BUCKETS_PER_DAY) {
+                assertTrue(predicted.known(), "a forecast exists after four weeks of history");
+                lossSum += Forecaster.pinballLoss(predicted, actualCount);
+                scoredBuckets++;
             }
-            f.observe(b, came);
+            forecaster.observe(bucket, actualCount);
         }
-        return lost / judged;
+        return lossSum / scoredBuckets;
     }
 
     @Test
-    void theChosenMethodBeatsTheNaiveOneOnEveryHistory() {
+    void selectedMethodHasLowerLossThanSeasonalNaiveOnEveryHistory() {
         for (String name : histories(new Random(0)).keySet()) {
-            double naive = score(new SeasonalNaive(SEASON), histories(new Random(5)).get(name), 84);
-            double chosen =
-                    score(
-                            LeastLossForecaster.ofAllMethods(SEASON),
+            double naiveLoss =
+                    meanPinballLoss(
+                            new SeasonalNaive(CALENDAR), histories(new Random(5)).get(name), 84);
+            double selectedLoss =
+                    meanPinballLoss(
+                            LeastLossForecaster.ofAllMethods(CALENDAR),
                             histories(new Random(5)).get(name),
                             84);
-            assertTrue(chosen < naive, name + ": " + chosen + " against " + naive);
+            assertTrue(
+                    selectedLoss < naiveLoss,
+                    name + ": loss " + selectedLoss + ", seasonal naive " + naiveLoss);
         }
     }
 
     @Test
-    void rangesHoldAboutFourOfFive() {
-        for (Map.Entry<String, LongToDoubleFunction> each : histories(new Random(5)).entrySet()) {
-            LeastLossForecaster f = LeastLossForecaster.ofAllMethods(SEASON);
-            int within = 0;
-            int judged = 0;
-            for (long b = 0; b < 84L * OF_DAY; b++) {
-                double came = each.getValue().applyAsDouble(b);
-                Forecaster.PredictionInterval told = f.forecast(b);
-                if (b >= 42L * OF_DAY) {
-                    judged++;
-                    within += came >= told.low() - 0.5 && came <= told.high() + 0.5 ? 1 : 0;
+    void predictionIntervalsContain70To99PercentOfCounts() {
+        for (Map.Entry<String, LongToDoubleFunction> history :
+                histories(new Random(5)).entrySet()) {
+            LeastLossForecaster forecaster = LeastLossForecaster.ofAllMethods(CALENDAR);
+            int countsWithin = 0;
+            int scoredBuckets = 0;
+            for (long bucket = 0; bucket < 84L * BUCKETS_PER_DAY; bucket++) {
+                double actualCount = history.getValue().applyAsDouble(bucket);
+                Forecaster.PredictionInterval predicted = forecaster.forecast(bucket);
+                if (bucket >= 42L * BUCKETS_PER_DAY) {
+                    scoredBuckets++;
+                    countsWithin +=
+                            actualCount >= predicted.low() - 0.5
+                                            && actualCount <= predicted.high() + 0.5
+                                    ? 1
+                                    : 0;
                 }
-                f.observe(b, came);
+                forecaster.observe(bucket, actualCount);
             }
-            double share = within / (double) judged;
-            assertTrue(share > 0.7 && share <= 0.99, each.getKey() + ": " + share);
+            double fraction = countsWithin / (double) scoredBuckets;
+            assertTrue(
+                    fraction > 0.7 && fraction <= 0.99,
+                    history.getKey() + ": fraction of counts within the interval " + fraction);
         }
     }
 
     @Test
-    void aMondaysRushIsKnownBeforeItComes() {
-        LeastLossForecaster f = LeastLossForecaster.ofAllMethods(SEASON);
+    void mondayRushIsForecastAfterSixWeeksOfHistory() {
+        LeastLossForecaster forecaster = LeastLossForecaster.ofAllMethods(CALENDAR);
         Random random = new Random(3);
-        long monday = 4; // 1970-01-05
-        for (long b = 0; b < (monday + 42) * OF_DAY; b++) {
-            f.observe(b, poisson(random, week(b, 8)));
+        // 1970-01-05 was a Monday.
+        long firstMonday = 4;
+        for (long bucket = 0; bucket < (firstMonday + 42) * BUCKETS_PER_DAY; bucket++) {
+            forecaster.observe(bucket, poisson(random, meanRequests(bucket, 8)));
         }
-        long eight = (monday + 42) * OF_DAY + 32;
+        long mondayAtEight = (firstMonday + 42) * BUCKETS_PER_DAY + 32;
+        assertTrue(
+                forecaster.forecast(mondayAtEight).median() > 150
+                        && forecaster.forecast(mondayAtEight).low() > 40,
+                "forecast for Monday at 8:00: " + forecaster.forecast(mondayAtEight));
         assertTrue(
-                f.forecast(eight).median() > 150 && f.forecast(eight).low() > 40,
-                "at eight: " + f.forecast(eight));
-        assertTrue(f.forecast(eight - 4).high() < 20, "at seven: " + f.forecast(eight - 4));
+                forecaster.forecast(mondayAtEight - 4).high() < 20,
+                "forecast for Monday at 7:00: " + forecaster.forecast(mondayAtEight - 4));
         assertTrue(
-                f.forecast(eight + OF_DAY).high() < 80,
-                "on Tuesday at eight: " + f.forecast(eight + OF_DAY));
+                forecaster.forecast(mondayAtEight + BUCKETS_PER_DAY).high() < 80,
+                "forecast for Tuesday at 8:00: "
+                        + forecaster.forecast(mondayAtEight + BUCKETS_PER_DAY));
     }
 
     @Test
-    void whatIsNotKnownIsSaidSo() {
-        for (Forecaster f :
+    void forecastIsUnknownBeforeAndAfterSingleObservation() {
+        for (Forecaster forecaster :
                 List.of(
-                        new SeasonalNaive(SEASON),
-                        new SeasonalSmoothing(SEASON),
-                        new ScaledSeasonalMedian(SEASON),
-                        LeastLossForecaster.ofAllMethods(SEASON))) {
-            assertFalse(f.forecast(50).known());
-            f.observe(50, 7);
-            assertFalse(f.forecast(50).known(), "one bucket is no habit");
+                        new SeasonalNaive(CALENDAR),
+                        new SeasonalSmoothing(CALENDAR),
+                        new ScaledSeasonalMedian(CALENDAR),
+                        LeastLossForecaster.ofAllMethods(CALENDAR))) {
+            assertFalse(forecaster.forecast(50).known());
+            forecaster.observe(50, 7);
+            assertFalse(
+                    forecaster.forecast(50).known(),
+                    "no forecast is made from a single observation");
         }
     }
 
     @Test
-    void specialDaysHaveSlotsOfTheirOwn() {
-        assertEquals(SEASON.slot(90L * OF_DAY + 5), SEASON.slot(181L * OF_DAY + 5));
-        assertTrue(SEASON.slot(90L * OF_DAY + 5) >= 7 * OF_DAY);
-        assertEquals(0, SEASON.slot(4L * OF_DAY), "a Monday's first");
-        assertEquals(SEASON.slot(4L * OF_DAY), SEASON.slot(11L * OF_DAY));
+    void slotsRepeatWeeklyExceptOnSpecialDaysAndUnevenBucketLengthIsRejected() {
+        assertEquals(
+                CALENDAR.slot(90L * BUCKETS_PER_DAY + 5),
+                CALENDAR.slot(181L * BUCKETS_PER_DAY + 5));
+        assertTrue(CALENDAR.slot(90L * BUCKETS_PER_DAY + 5) >= 7 * BUCKETS_PER_DAY);
+        assertEquals(
+                0, CALENDAR.slot(4L * BUCKETS_PER_DAY), "slot of the first bucket of a Monday");
+        assertEquals(CALENDAR.slot(4L * BUCKETS_PER_DAY), CALENDAR.slot(11L * BUCKETS_PER_DAY));
         assertThrows(IllegalArgumentException.class, () -> new SeasonalCalendar(7_000, List.of()));
     }
 
     @Test
-    void pinballLossPrefersTheRightQuantiles() {
-        Forecaster.PredictionInterval right = new Forecaster.PredictionInterval(8, 10, 12, true);
+    void pinballLossIsZeroForExactForecastAndGrowsWithIntervalWidthAndDistance() {
+        Forecaster.PredictionInterval interval = new Forecaster.PredictionInterval(8, 10, 12, true);
         assertEquals(
                 0,
                 Forecaster.pinballLoss(new Forecaster.PredictionInterval(10, 10, 10, true), 10),
                 1e-9);
         assertTrue(
-                Forecaster.pinballLoss(right, 10)
+                Forecaster.pinballLoss(interval, 10)
                         < Forecaster.pinballLoss(
                                 new Forecaster.PredictionInterval(0, 10, 40, true), 10));
-        assertTrue(Forecaster.pinballLoss(right, 50) > Forecaster.pinballLoss(right, 12));
+        assertTrue(Forecaster.pinballLoss(interval, 50) > Forecaster.pinballLoss(interval, 12));
     }
 }
--- a/src/test/java/waytrestle/overload/BoundedMapTest.java
+++ b/src/test/java/waytrestle/overload/BoundedMapTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 class BoundedMapTest {
-    private static Map<String, Integer> filled(Map<String, Integer> map) {
+    /** Inserts "a" and "b", reads "a", then inserts "c". */
+    private static Map<String, Integer> insertThreeEntries(Map<String, Integer> map) {
         map.put("a", 1);
         map.put("b", 2);
         map.get("a");
@@ -16,12 +17,12 @@
     }
 
     @Test
-    void inInsertionOrderTheFirstInsertedIsEvicted() {
-        assertEquals(Set.of("b", "c"), filled(BoundedMap.inInsertionOrder(2)).keySet());
+    void insertionBeyondMaximumEvictsFirstInsertedEntryInInsertionOrder() {
+        assertEquals(Set.of("b", "c"), insertThreeEntries(BoundedMap.inInsertionOrder(2)).keySet());
     }
 
     @Test
-    void inAccessOrderTheLongestUnusedIsEvicted() {
-        assertEquals(Set.of("a", "c"), filled(BoundedMap.inAccessOrder(2)).keySet());
+    void insertionBeyondMaximumEvictsLeastRecentlyUsedEntryInAccessOrder() {
+        assertEquals(Set.of("a", "c"), insertThreeEntries(BoundedMap.inAccessOrder(2)).keySet());
     }
 }
--- a/src/test/java/waytrestle/overload/ConcurrencyLimitTest.java
+++ b/src/test/java/waytrestle/overload/ConcurrencyLimitTest.java
@@ -13,50 +13,57 @@
     private static final long WINDOW_MICROS = 250_000;
 
     private final ConcurrencyLimit limit = new ConcurrencyLimit(MIN_LIMIT, MAX_LIMIT);
-    private long now = MICROS_PER_SECOND;
+    private long nowMicros = MICROS_PER_SECOND;
 
-    private void runWindow(int inFlight, long responseMicros) {
-        limit.recordInFlight(now, inFlight);
+    /** Records one window of equal response times at a constant number of requests in flight. */
+    private void recordWindow(int inFlight, long responseMicros) {
+        limit.recordInFlight(nowMicros, inFlight);
         for (int i = 0; i < RESPONSES_PER_WINDOW; i++) {
-            now += WINDOW_MICROS / RESPONSES_PER_WINDOW;
-            limit.recordResponse(now, "function", responseMicros);
+            nowMicros += WINDOW_MICROS / RESPONSES_PER_WINDOW;
+            limit.recordResponse(nowMicros, "function", responseMicros);
         }
     }
 
     @Test
-    void limitDoublesWhileItIsUsedAndNothingQueues() {
-        int initial = limit.limit();
-        assertEquals(8 * MIN_LIMIT, initial);
-        runWindow(initial, 100_000);
-        assertEquals(2 * initial, limit.limit());
+    void limitDoublesFromInitialLimitWhenFullyUsedWithoutQueueing() {
+        int initialLimit = limit.limit();
+        assertEquals(8 * MIN_LIMIT, initialLimit);
+        recordWindow(initialLimit, 100_000);
+        assertEquals(2 * initialLimit, limit.limit());
     }
 
     @Test
-    void limitStaysWhereItIsNotUsed() {
-        int initial = limit.limit();
-        runWindow(initial / 2, 100_000);
-        assertEquals(initial, limit.limit());
+    void limitStaysInitialWhenHalfUsedWithoutQueueing() {
+        int initialLimit = limit.limit();
+        recordWindow(initialLimit / 2, 100_000);
+        assertEquals(initialLimit, limit.limit());
     }
 
     @Test
-    void limitFallsWhileResponsesQueueButNotBelowTheMinimum() {
-        runWindow(80, 100_000);
+    void limitFallsOnSlowResponsesAndToMinimumOnTimeouts() {
+        recordWindow(80, 100_000);
         int beforeQueueing = limit.limit();
-        runWindow(80, 1_000_000);
-        assertTrue(limit.limit() < beforeQueueing, "limit " + limit.limit());
-        for (int i = 0; i < 20; i++) {
+        recordWindow(80, 1_000_000);
+        assertTrue(
+                limit.limit() < beforeQueueing,
+                "limit "
+                        + limit.limit()
+                        + " is not below "
+                        + beforeQueueing
+                        + " after slow responses");
+        for (int window = 0; window < 20; window++) {
             for (int timeout = 0; timeout < RESPONSES_PER_WINDOW; timeout++) {
-                now += WINDOW_MICROS / RESPONSES_PER_WINDOW;
-                limit.recordTimeout(now);
+                nowMicros += WINDOW_MICROS / RESPONSES_PER_WINDOW;
+                limit.recordTimeout(nowMicros);
             }
         }
         assertEquals(MIN_LIMIT, limit.limit());
     }
 
     @Test
-    void limitGrowsUpToTheMaximum() {
-        for (int i = 0; i < 20; i++) {
-            runWindow(limit.limit(), 100_000);
+    void limitGrowsToMaximumWhenFullyUsedWithoutQueueing() {
+        for (int window = 0; window < 20; window++) {
+            recordWindow(limit.limit(), 100_000);
         }
         assertEquals(MAX_LIMIT, limit.limit());
     }
--- a/src/test/java/waytrestle/overload/ConnectionAdmissionTest.java
+++ b/src/test/java/waytrestle/overload/ConnectionAdmissionTest.java
@@ -9,7 +9,7 @@
 
 class ConnectionAdmissionTest {
     @Test
-    void connectionsAreLimitedInTotalAndByNetwork() {
+    void connectionsBeyondTotalOrNetworkLimitOrFromBarredSourceAreRejected() {
         ConnectionAdmission admission = new ConnectionAdmission(5, 2);
         assertNull(admission.tryAdmit("a", TrustLevel.ORDINARY));
         assertNull(admission.tryAdmit("a", TrustLevel.ORDINARY));
--- a/src/test/java/waytrestle/overload/OverloadControlTest.java
+++ b/src/test/java/waytrestle/overload/OverloadControlTest.java
@@ -11,48 +11,50 @@
 import org.junit.jupiter.api.Test;
 import waytrestle.requests.RequestOutcome.Reason;
 
-/** Overload control as a whole, alone and in front of a fleet of servers in simulated time. */
+/** Tests all overload checks together, alone and in front of a fleet of simulated servers. */
 class OverloadControlTest {
     private static final int SERVERS = 40;
 
-    /** What {@link #SERVERS} serve: their mean run time is 80 ms. */
+    /** Requests per second that {@link #SERVERS} serve at the mean run time of 80 ms. */
     private static final int CAPACITY_PER_SECOND = 500;
 
     @Test
-    void overloadByOneTenantCostsTheOtherLittle() {
-        double fractionWithout = servedFractionOfSecondTenant(150, 0.95 * 300 * 59);
-        double fractionUnder = servedFractionOfSecondTenant(5_000, 0.9 * CAPACITY_PER_SECOND * 59);
+    void secondTenantKeeps95PercentOfItsServedFractionWhileFirstTenantOverloads() {
+        double fractionWithoutOverload = servedFractionOfSecondTenant(150, 0.95 * 300 * 59);
+        double fractionWithOverload =
+                servedFractionOfSecondTenant(5_000, 0.9 * CAPACITY_PER_SECOND * 59);
         assertTrue(
-                fractionUnder > 0.95 * fractionWithout,
-                "second tenant served "
-                        + fractionUnder
-                        + " under overload, "
-                        + fractionWithout
-                        + " without");
+                fractionWithOverload > 0.95 * fractionWithoutOverload,
+                "fraction of the second tenant's requests served within the objective: "
+                        + fractionWithOverload
+                        + " with overload, "
+                        + fractionWithoutOverload
+                        + " without overload");
     }
 
+    /** Returns the fraction of the second tenant's requests served within the latency objective. */
     private static double servedFractionOfSecondTenant(
-            double firstTenantPerSecond, double minServedInTime) {
+            double firstTenantPerSecond, double minServedWithinObjective) {
         SimulatedFleet fleet = new SimulatedFleet(SERVERS, false);
         fleet.offer(FIRST_TENANT, 60 * MICROS_PER_SECOND, firstTenantPerSecond);
         fleet.offer(SECOND_TENANT, 60 * MICROS_PER_SECOND, 150);
         fleet.runUntil(64 * MICROS_PER_SECOND);
         assertTrue(
-                fleet.servedWithinObjective() > minServedInTime,
-                "served in time " + fleet.servedWithinObjective());
+                fleet.servedWithinObjective() > minServedWithinObjective,
+                "requests served within the objective: " + fleet.servedWithinObjective());
         return fleet.servedWithinObjective(SECOND_TENANT)
                 / (double) fleet.arrivedFirstRequests(SECOND_TENANT);
     }
 
     @Test
-    void limitFollowsCapacityThatHalvesAndComesBack() {
+    void limitFallsWhenServersHalveAndServiceRecoversWhenTheyReturn() {
         SimulatedFleet fleet = new SimulatedFleet(SERVERS, false);
         fleet.offer(FIRST_TENANT, 60 * MICROS_PER_SECOND, 450);
         fleet.runUntil(20 * MICROS_PER_SECOND);
         int limitBefore = fleet.limitAt(20 * MICROS_PER_SECOND);
         fleet.setServers(SERVERS / 2);
         fleet.runUntil(40 * MICROS_PER_SECOND);
-        int leastLimit =
+        int minLimit =
                 fleet.limitSamples().stream()
                         .filter(sample -> sample.atMicros() > 20 * MICROS_PER_SECOND)
                         .filter(sample -> sample.atMicros() < 23 * MICROS_PER_SECOND)
@@ -61,8 +63,11 @@
                         .orElseThrow();
         int limitAtHalf = fleet.limitAt(40 * MICROS_PER_SECOND);
         assertTrue(
-                leastLimit < 0.75 * Math.max(limitBefore, 100),
-                "limit before " + limitBefore + ", within three seconds " + leastLimit);
+                minLimit < 0.75 * Math.max(limitBefore, 100),
+                "limit before servers halved: "
+                        + limitBefore
+                        + ", minimum within three seconds: "
+                        + minLimit);
         fleet.setServers(SERVERS);
         fleet.runUntil(64 * MICROS_PER_SECOND);
         long servedBefore = fleet.servedWithinObjective(FIRST_TENANT);
@@ -71,17 +76,19 @@
         long served = fleet.servedWithinObjective(FIRST_TENANT) - servedBefore;
         assertTrue(
                 served > 0.9 * 450 * 6,
-                "served after capacity came back: "
+                "requests served within the objective after all servers returned: "
                         + served
-                        + ", limit "
+                        + ", limit with half of the servers: "
                         + limitAtHalf
-                        + " then "
+                        + ", at the end: "
                         + fleet.limitAt(70 * MICROS_PER_SECOND));
     }
 
-    /** Ten seconds without a server while clients retry; then all servers are back. */
+    /**
+     * Guards against a retry storm that outlasts an outage: no server for ten seconds, then all.
+     */
     @Test
-    void serviceRecoversWithinFiveSecondsOfAnOutageAndRetriesStayWithinTheirBudget() {
+    void serviceRecoversFiveSecondsAfterOutageAndRetriesStayWithinBudget() {
         SimulatedFleet fleet = new SimulatedFleet(SERVERS, true);
         fleet.offer(FIRST_TENANT, 60 * MICROS_PER_SECOND, 200);
         fleet.offer(SECOND_TENANT, 60 * MICROS_PER_SECOND, 150);
@@ -95,42 +102,46 @@
         double servedFraction = (fleet.servedWithinObjective() - servedBefore) / (350.0 * 10);
         assertTrue(
                 servedFraction > 0.95,
-                "served in time from five seconds after the outage: " + servedFraction);
+                "fraction served within the objective from five seconds after the outage: "
+                        + servedFraction);
         fleet.runUntil(64 * MICROS_PER_SECOND);
-        assertTrue(fleet.admittedRetries() > 0, "there were retries");
+        assertTrue(fleet.admittedRetries() > 0, "at least one retry is admitted");
         assertTrue(
                 fleet.admittedRetries() <= 0.2 * fleet.firstRequests() + 10 * 60 + 100,
                 fleet.admittedRetries()
-                        + " retries for "
+                        + " admitted retries for "
                         + fleet.firstRequests()
                         + " first requests");
     }
 
-    /** After ten seconds of rejections every client retries within one second. */
+    /** 5,000 requests are rejected over ten seconds; each client then retries within one second. */
     @Test
-    void retryStormIsCutToTheRetryBudget() {
+    void retryStormAfterRejectionsIsLimitedToRetryBudget() {
         OverloadControl overloadControl = OverloadFixture.overloadControl();
-        long now = MICROS_PER_SECOND;
+        long nowMicros = MICROS_PER_SECOND;
         for (long fingerprint = 1; fingerprint <= 5_000; fingerprint++) {
-            overloadControl.requestStarted(now, FIRST_TENANT, LOW_PRIORITY_CLASS);
+            overloadControl.requestStarted(nowMicros, FIRST_TENANT, LOW_PRIORITY_CLASS);
             overloadControl.requestCompleted(
-                    now, FIRST_TENANT, LOW_PRIORITY_CLASS, fingerprint, true, false);
-            now += 2_000;
+                    nowMicros, FIRST_TENANT, LOW_PRIORITY_CLASS, fingerprint, true, false);
+            nowMicros += 2_000;
         }
-        int admitted = 0;
+        int admittedRetries = 0;
         for (long fingerprint = 1; fingerprint <= 5_000; fingerprint++) {
             Reason reason =
                     overloadControl.rejectionReason(
-                            now, FIRST_TENANT, LOW_PRIORITY_CLASS, fingerprint);
-            admitted += reason == null ? 1 : 0;
-            now += 200;
+                            nowMicros, FIRST_TENANT, LOW_PRIORITY_CLASS, fingerprint);
+            admittedRetries += reason == null ? 1 : 0;
+            nowMicros += 200;
         }
-        assertTrue(admitted > 0 && admitted <= 120, "retries admitted: " + admitted);
+        assertTrue(
+                admittedRetries > 0 && admittedRetries <= 120,
+                "admitted retries: " + admittedRetries);
         assertEquals(
                 Reason.RETRY_BUDGET_EXHAUSTED,
-                overloadControl.rejectionReason(now, FIRST_TENANT, LOW_PRIORITY_CLASS, 5));
+                overloadControl.rejectionReason(nowMicros, FIRST_TENANT, LOW_PRIORITY_CLASS, 5));
         assertNull(
-                overloadControl.rejectionReason(now, SECOND_TENANT, LOW_PRIORITY_CLASS, 900_000),
-                "a first request is no retry");
+                overloadControl.rejectionReason(
+                        nowMicros, SECOND_TENANT, LOW_PRIORITY_CLASS, 900_000),
+                "a first request needs no retry budget");
     }
 }
--- a/src/test/java/waytrestle/overload/OverloadFixture.java
+++ b/src/test/java/waytrestle/overload/OverloadFixture.java
@@ -6,18 +6,28 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 import waytrestle.scheduler.SchedulerSettings.Tenant;
 
-/** Fixture: two tenants of equal quota and two request classes of unequal priority weight. */
+/**
+ * Test settings: two tenants of equal quota and two request classes of different priority weight.
+ */
 final class OverloadFixture {
     static final long MICROS_PER_SECOND = 1_000_000;
     static final long LATENCY_OBJECTIVE_MICROS = MICROS_PER_SECOND;
     static final long DEADLINE_MICROS = 3 * MICROS_PER_SECOND;
 
+    /** Index of a tenant in {@link #TENANTS}. */
     static final int FIRST_TENANT = 0;
+
+    /** Index of a tenant in {@link #TENANTS}. */
     static final int SECOND_TENANT = 1;
+
     static final List<Tenant> TENANTS = List.of(new Tenant("a", 0.5, 0), new Tenant("b", 0.5, 0));
 
+    /** Index of a request class in {@link #CLASSES}. */
     static final int LOW_PRIORITY_CLASS = 0;
+
+    /** Index of a request class in {@link #CLASSES}. */
     static final int HIGH_PRIORITY_CLASS = 1;
+
     static final List<RequestClass> CLASSES =
             List.of(requestClass("low-priority", 1), requestClass("high-priority", 3));
 
--- a/src/test/java/waytrestle/overload/SimulatedFleet.java
+++ b/src/test/java/waytrestle/overload/SimulatedFleet.java
@@ -15,16 +15,22 @@
 import java.util.Random;
 
 /**
- * Fixture: servers behind one queue, in simulated time. Every request passes overload control
- * before it is queued; rejected clients may retry.
+ * Simulates servers behind one queue. Every request passes overload control before it is queued;
+ * clients may retry rejected requests. Time is simulated, in microseconds, and starts at 1 s.
  */
 final class SimulatedFleet {
     private static final String FUNCTION = "f";
     private static final long MEAN_RUN_MICROS = 80_000;
     private static final long RETRY_BACKOFF_MICROS = 200_000;
-    private static final int MAX_RETRIES = 5;
+    private static final int MAX_RETRIES_PER_REQUEST = 5;
     private static final long LIMIT_SAMPLE_INTERVAL_MICROS = 100_000;
 
+    /**
+     * A request or one of its retries.
+     *
+     * @param fingerprint identifies the request in all its retries
+     * @param retries number of retries before this request, 0 for the first request
+     */
     private record Request(int tenant, long fingerprint, int retries) {
         boolean isFirst() {
             return retries == 0;
@@ -41,11 +47,11 @@
 
     private record RequestArrived(long atMicros, Request request) implements Event {}
 
-    private record RequestServed(long atMicros, int tenant, long queuedAt) implements Event {}
+    private record RequestServed(long atMicros, int tenant, long queuedAtMicros) implements Event {}
 
-    private record QueuedRequest(long queuedAt, Request request) {}
+    private record QueuedRequest(long queuedAtMicros, Request request) {}
 
-    /** The concurrency limit at a time. */
+    /** The concurrency limit at a simulated time. */
     record LimitSample(long atMicros, int limit) {}
 
     private final OverloadControl overloadControl = OverloadFixture.overloadControl();
@@ -53,67 +59,69 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMicros));
     private final Queue<QueuedRequest> queue = new ArrayDeque<>();
-    private final long[] offeredByTenant = new long[TENANTS.size()];
-    private final long[] servedInTimeByTenant = new long[TENANTS.size()];
+    private final long[] arrivedByTenant = new long[TENANTS.size()];
+    private final long[] servedWithinObjectiveByTenant = new long[TENANTS.size()];
     private final List<LimitSample> limitSamples = new ArrayList<>();
     private final boolean clientsRetry;
     private int servers;
     private int busyServers;
     private long admittedRetries;
-    private long requests;
-    private long now = MICROS_PER_SECOND;
+    private long firstRequests;
+    private long nowMicros = MICROS_PER_SECOND;
 
     SimulatedFleet(int servers, boolean clientsRetry) {
         this.servers = servers;
         this.clientsRetry = clientsRetry;
     }
 
-    /** Schedules first requests of a tenant from now on, as a Poisson process. */
+    /** Schedules first requests of a tenant as a Poisson process, from the current time on. */
     void offer(int tenant, long untilMicros, double requestsPerSecond) {
-        double atMicros = now;
+        double atMicros = nowMicros;
         while (atMicros < untilMicros) {
-            requests++;
-            events.add(new RequestArrived((long) atMicros, new Request(tenant, requests, 0)));
+            firstRequests++;
+            events.add(new RequestArrived((long) atMicros, new Request(tenant, firstRequests, 0)));
             double gapSeconds = -Math.log(1 - random.nextDouble()) / requestsPerSecond;
             atMicros += gapSeconds * MICROS_PER_SECOND;
         }
     }
 
+    /** Sets the number of servers; requests already running are finished. */
     void setServers(int count) {
         servers = count;
     }
 
+    /** Processes all events up to a time, which becomes the current time. */
     void runUntil(long untilMicros) {
         while (!events.isEmpty() && events.peek().atMicros() <= untilMicros) {
             Event event = events.poll();
-            now = event.atMicros();
+            nowMicros = event.atMicros();
             if (event instanceof RequestArrived arrived) {
                 admit(arrived.request());
             } else if (event instanceof RequestServed served) {
                 complete(served);
             }
-            rejectExpired();
-            startQueued();
-            sampleLimit();
+            rejectQueuedBeyondDeadline();
+            startQueuedRequests();
+            sampleLimitIfDue();
         }
-        now = untilMicros;
+        nowMicros = untilMicros;
     }
 
     private void admit(Request request) {
         if (request.isFirst()) {
-            offeredByTenant[request.tenant()]++;
+            arrivedByTenant[request.tenant()]++;
         }
         long fingerprint = clientsRetry ? request.fingerprint() : 0;
         boolean admitted =
                 overloadControl.rejectionReason(
-                                now, request.tenant(), LOW_PRIORITY_CLASS, fingerprint)
+                                nowMicros, request.tenant(), LOW_PRIORITY_CLASS, fingerprint)
                         == null;
         if (!admitted) {
-            retryLater(request);
+            scheduleRetry(request);
             return;
         }
-        overloadControl.requestStarted(now, request.tenant(), LOW_PRIORITY_CLASS);
-        queue.add(new QueuedRequest(now, request));
+        overloadControl.requestStarted(nowMicros, request.tenant(), LOW_PRIORITY_CLASS);
+        queue.add(new QueuedRequest(nowMicros, request));
         if (!request.isFirst()) {
             admittedRetries++;
         }
@@ -121,74 +129,85 @@
 
     private void complete(RequestServed served) {
         busyServers--;
-        long responseMicros = now - served.queuedAt();
+        long responseMicros = nowMicros - served.queuedAtMicros();
         boolean timedOut = responseMicros > DEADLINE_MICROS;
-        overloadControl.warmResponseServed(now, FUNCTION, responseMicros);
+        overloadControl.warmResponseServed(nowMicros, FUNCTION, responseMicros);
         overloadControl.requestCompleted(
-                now, served.tenant(), LOW_PRIORITY_CLASS, 0, false, timedOut);
+                nowMicros, served.tenant(), LOW_PRIORITY_CLASS, 0, false, timedOut);
         if (responseMicros <= LATENCY_OBJECTIVE_MICROS) {
-            servedInTimeByTenant[served.tenant()]++;
+            servedWithinObjectiveByTenant[served.tenant()]++;
         }
     }
 
-    private void rejectExpired() {
-        while (!queue.isEmpty() && queue.peek().queuedAt() < now - DEADLINE_MICROS) {
+    private void rejectQueuedBeyondDeadline() {
+        while (!queue.isEmpty() && queue.peek().queuedAtMicros() < nowMicros - DEADLINE_MICROS) {
             Request expired = queue.poll().request();
             overloadControl.requestCompleted(
-                    now, expired.tenant(), LOW_PRIORITY_CLASS, expired.fingerprint(), true, false);
-            retryLater(expired);
+                    nowMicros,
+                    expired.tenant(),
+                    LOW_PRIORITY_CLASS,
+                    expired.fingerprint(),
+                    true,
+                    false);
+            scheduleRetry(expired);
         }
     }
 
-    private void startQueued() {
+    private void startQueuedRequests() {
         while (busyServers < servers && !queue.isEmpty()) {
             QueuedRequest next = queue.poll();
             busyServers++;
             long runMicros = (long) (MEAN_RUN_MICROS * (0.5 + random.nextDouble()));
             events.add(
-                    new RequestServed(now + runMicros, next.request().tenant(), next.queuedAt()));
+                    new RequestServed(
+                            nowMicros + runMicros, next.request().tenant(), next.queuedAtMicros()));
         }
     }
 
-    private void sampleLimit() {
+    private void sampleLimitIfDue() {
         boolean due =
                 limitSamples.isEmpty()
-                        || now - limitSamples.get(limitSamples.size() - 1).atMicros()
+                        || nowMicros - limitSamples.get(limitSamples.size() - 1).atMicros()
                                 > LIMIT_SAMPLE_INTERVAL_MICROS;
         if (due) {
-            limitSamples.add(new LimitSample(now, overloadControl.concurrencyLimit()));
+            limitSamples.add(new LimitSample(nowMicros, overloadControl.concurrencyLimit()));
         }
     }
 
-    /** Half of the rejected requests are sent again after the backoff, a few times at most. */
-    private void retryLater(Request request) {
-        if (clientsRetry && request.retries() < MAX_RETRIES && random.nextBoolean()) {
-            events.add(new RequestArrived(now + RETRY_BACKOFF_MICROS, request.retry()));
+    /**
+     * Schedules a retry of a rejected request with a probability of one half, up to the maximum
+     * number of retries.
+     */
+    private void scheduleRetry(Request request) {
+        if (clientsRetry && request.retries() < MAX_RETRIES_PER_REQUEST && random.nextBoolean()) {
+            events.add(new RequestArrived(nowMicros + RETRY_BACKOFF_MICROS, request.retry()));
         }
     }
 
-    /** First requests that were scheduled. */
+    /** Returns the number of scheduled first requests of all tenants. */
     long firstRequests() {
-        return requests;
+        return firstRequests;
     }
 
+    /** Returns the number of retries that passed overload control. */
     long admittedRetries() {
         return admittedRetries;
     }
 
-    /** First requests of a tenant that have arrived. */
+    /** Returns the number of first requests of a tenant that have arrived. */
     long arrivedFirstRequests(int tenant) {
-        return offeredByTenant[tenant];
+        return arrivedByTenant[tenant];
     }
 
-    /** Requests of a tenant that were served within their latency objective. */
+    /** Returns the number of a tenant's requests that were served within the latency objective. */
     long servedWithinObjective(int tenant) {
-        return servedInTimeByTenant[tenant];
+        return servedWithinObjectiveByTenant[tenant];
     }
 
+    /** Returns the number of requests, of all tenants, served within the latency objective. */
     long servedWithinObjective() {
         long sum = 0;
-        for (long served : servedInTimeByTenant) {
+        for (long served : servedWithinObjectiveByTenant) {
             sum += served;
         }
         return sum;
@@ -198,6 +217,7 @@
         return limitSamples;
     }
 
+    /** Returns the latest sample of the concurrency limit at or before a time. */
     int limitAt(long atMicros) {
         return limitSamples.stream()
                 .filter(sample -> sample.atMicros() <= atMicros)
--- a/src/test/java/waytrestle/overload/StartupPreloadLimitTest.java
+++ b/src/test/java/waytrestle/overload/StartupPreloadLimitTest.java
@@ -11,19 +11,20 @@
     private static final long PERIOD_MICROS = 60 * MICROS_PER_SECOND;
 
     @Test
-    void withinThePeriodPreloadsComeWithAcceptedRequests() {
+    void withinFirstPeriodTwoAcceptedRequestsAllowOnePreloadAtHalfPreloadPerRequest() {
         StartupPreloadLimit limit = new StartupPreloadLimit(START_MICROS, PERIOD_MICROS, 0.5);
-        long now = START_MICROS + PERIOD_MICROS;
-        assertFalse(limit.tryAcquire(now), "no request yet");
-        limit.requestAccepted(now);
-        assertFalse(limit.tryAcquire(now), "half a preload");
-        limit.requestAccepted(now);
-        assertTrue(limit.tryAcquire(now));
-        assertFalse(limit.tryAcquire(now), "the only one is taken");
+        long nowMicros = START_MICROS + PERIOD_MICROS;
+        assertFalse(
+                limit.tryAcquire(nowMicros), "no preload is allowed without an accepted request");
+        limit.requestAccepted(nowMicros);
+        assertFalse(limit.tryAcquire(nowMicros), "one accepted request allows only half a preload");
+        limit.requestAccepted(nowMicros);
+        assertTrue(limit.tryAcquire(nowMicros));
+        assertFalse(limit.tryAcquire(nowMicros), "two accepted requests allow only one preload");
     }
 
     @Test
-    void afterThePeriodPreloadsAreNotLimited() {
+    void afterFirstPeriodPreloadsAreAllowedWithoutRequests() {
         StartupPreloadLimit limit = new StartupPreloadLimit(START_MICROS, PERIOD_MICROS, 0.5);
         assertTrue(limit.tryAcquire(START_MICROS + PERIOD_MICROS + 1));
         assertTrue(limit.tryAcquire(START_MICROS + PERIOD_MICROS + 1));
