--- a/src/main/java/waytrestle/scheduler/AttemptState.java
+++ b/src/main/java/waytrestle/scheduler/AttemptState.java
@@ -1,20 +1,30 @@
 package waytrestle.scheduler;
 
-/** One send of a request to an invoker. Lives as long as its request. */
+/**
+ * One attempt: one send of a request to one invoker. Kept until its request is removed. Times are
+ * in microseconds on the scheduler's clock.
+ */
 final class AttemptState {
     final InvokerState invoker;
     final FunctionInstance instance;
     final long sentAt;
 
-    /** Whether it was sent to an instance that was not believed to be loaded. */
+    /**
+     * Whether no instance of the function was believed to be loaded at the invoker when the attempt
+     * was sent.
+     */
     final boolean cold;
 
-    /** Where no instance was believed to exist: how the invoker was chosen. */
+    /** Whether the invoker was chosen without a known instance of the function. */
     final Guess guess;
 
-    /** Requests at work at the invoker when this one was sent. */
+    /**
+     * Estimated number of requests that the invoker was running when the attempt was sent, without
+     * those that waited for a load.
+     */
     final double concurrentRequestsAtSend;
 
+    /** Whether the attempt has ended. */
     boolean completed;
 
     AttemptState(
@@ -32,7 +42,7 @@
         this.sentAt = nowMicros;
     }
 
-    /** Counts the attempt as in flight. */
+    /** Counts the attempt as in flight at its instance and its invoker. */
     void start() {
         instance.lastUsedAt = sentAt;
         instance.inFlight++;
@@ -42,7 +52,7 @@
         }
     }
 
-    /** Counts it as in flight no longer. */
+    /** Marks the attempt as ended and no longer counts it as in flight. */
     void complete() {
         completed = true;
         instance.inFlight--;
@@ -50,13 +60,16 @@
         invoker.warmInFlight -= cold ? 0 : 1;
     }
 
-    /** How an attempt came to an invoker where no instance was known. */
+    /**
+     * Whether an attempt was sent to an invoker without a known instance of the function, in the
+     * hope that one is there, and at which attempt of its request.
+     */
     enum Guess {
-        /** An instance was believed to be there. */
+        /** An instance was known, loaded or loading. */
         NONE,
-        /** At the first invoker tried for the request. */
+        /** No instance was known; the request's first attempt. */
         FIRST_ATTEMPT,
-        /** At a further one. */
+        /** No instance was known; a later attempt of the request. */
         RETRY
     }
 }
--- a/src/main/java/waytrestle/scheduler/DeduplicationScope.java
+++ b/src/main/java/waytrestle/scheduler/DeduplicationScope.java
@@ -1,6 +1,9 @@
 package waytrestle.scheduler;
 
-/** The invokers that share the idempotency keys which they have seen. */
+/**
+ * The invokers among which an idempotency key is deduplicated: each of them drops a request whose
+ * key any of them has seen.
+ */
 public enum DeduplicationScope {
     /** All invokers. */
     ALL,
--- a/src/main/java/waytrestle/scheduler/DiscoveryMode.java
+++ b/src/main/java/waytrestle/scheduler/DiscoveryMode.java
@@ -1,9 +1,9 @@
 package waytrestle.scheduler;
 
-/** How changes of the endpoint list arrive. */
+/** How changes of the endpoint list reach a controller. */
 public enum DiscoveryMode {
-    /** Sent to the controller by themselves. */
+    /** They are delivered without a subscription. */
     PUSH,
-    /** Only once the scheduler has subscribed. */
+    /** They are delivered after {@link SchedulerCommand.SubscribeToEndpoints}. */
     POLL
 }
--- a/src/main/java/waytrestle/scheduler/EndpointState.java
+++ b/src/main/java/waytrestle/scheduler/EndpointState.java
@@ -1,11 +1,11 @@
 package waytrestle.scheduler;
 
-/** What service discovery says of an invoker. */
+/** State of an invoker in the endpoint list of service discovery. */
 public enum EndpointState {
-    /** Takes requests. */
+    /** The invoker accepts requests. */
     READY,
-    /** Finishes its requests and takes nothing new. */
+    /** The invoker finishes its requests and is to be sent no new ones. */
     DRAINING,
-    /** Has left. */
+    /** The invoker has left the endpoint list. */
     GONE
 }
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -7,7 +7,12 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 import waytrestle.stats.DecayingAverage;
 
-/** Follows the endpoint list: which invokers are ready, and which have started anew. */
+/**
+ * Applies updates of the endpoint list to the scheduler's state: which invokers are ready, which
+ * have restarted, and how many of each kind are ready.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class EndpointTracker {
     private final SchedulerState state;
     private final ReadinessLeases leases;
@@ -17,13 +22,13 @@
         this.leases = leases;
     }
 
-    /** Takes over a snapshot or changes. */
+    /** Applies a snapshot of the endpoint list, or the changes since the last update. */
     void update(EndpointsUpdated event) {
         if (event.snapshot()) {
-            Set<String> present = new HashSet<>();
-            event.entries().forEach(endpoint -> present.add(endpoint.id()));
+            Set<String> listedIds = new HashSet<>();
+            event.entries().forEach(endpoint -> listedIds.add(endpoint.id()));
             for (InvokerState invoker : state.invokers.values()) {
-                if (!present.contains(invoker.id)) {
+                if (!listedIds.contains(invoker.id)) {
                     invoker.ready = false;
                     invoker.clearInstances();
                 }
@@ -51,18 +56,18 @@
     }
 
     private void countReadyByKind() {
-        Map<Integer, Integer> ready = new HashMap<>();
+        Map<Integer, Integer> readyCounts = new HashMap<>();
         for (InvokerState invoker : state.invokers.values()) {
-            ready.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
+            readyCounts.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
         }
         state.readyInvokersByKind.forEach(
-                (kind, average) -> average.set(ready.getOrDefault(kind, 0), state.now));
-        ready.forEach(
+                (kind, average) -> average.set(readyCounts.getOrDefault(kind, 0), state.now));
+        readyCounts.forEach(
                 (kind, count) ->
                         state.readyInvokersByKind
                                 .computeIfAbsent(
                                         kind,
-                                        added ->
+                                        absent ->
                                                 new DecayingAverage(
                                                         FinishTimeEstimate.RATE_DECAY_MICROS))
                                 .set(count, state.now));
--- a/src/main/java/waytrestle/scheduler/FinishTimeEstimate.java
+++ b/src/main/java/waytrestle/scheduler/FinishTimeEstimate.java
@@ -2,97 +2,160 @@
 
 import waytrestle.stats.DecayingSum;
 
-/** The estimate of when an invoker would finish a request: queue + run + load-if-cold. */
+/**
+ * Estimates when an invoker would finish a request: time in its queue, run time, and load time if
+ * the function is not loaded there. All estimates are durations in microseconds.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class FinishTimeEstimate {
-    private static final double INITIAL_RUN_SHARE = 0.2; // of the objective, before any response
-    private static final double UNHINDERED_REQUESTS = 4; // that an invoker is thought to run
-    private static final double LOAD_DELAY_SHARE = 0.2; // of a load, by each other under way there
-    private static final double FAILURE_COST = 2; // objectives: another attempt and this one's time
-    static final double RATE_DECAY_MICROS = 4_000_000; // rates and reports: beyond a burst
+    /** Share of the latency objective that a function's run takes, before its first response. */
+    private static final double INITIAL_RUN_SHARE = 0.2;
+
+    /** Requests that an invoker is assumed to run in parallel. */
+    private static final double PARALLEL_REQUESTS = 4;
+
+    /**
+     * Share of a load's time by which each other load under way at the invoker delays it; also the
+     * least share of its time that a load under way is assumed to need still.
+     */
+    private static final double LOAD_DELAY_SHARE = 0.2;
+
+    /** Latency objectives that a failed attempt costs: its own time and that of another attempt. */
+    private static final double FAILURE_COST_OBJECTIVES = 2;
+
+    /** Time after which rates and load reports weigh 1/e; longer than a burst of requests. */
+    static final double RATE_DECAY_MICROS = 4_000_000;
 
     private final SchedulerState state;
 
-    /** Probability, for the choice at hand, that an invoker without a known instance has none. */
+    /**
+     * Probability that an invoker without a known instance of the function holds none. Set for each
+     * request before its invokers are compared.
+     */
     double coldProbability;
 
     FinishTimeEstimate(SchedulerState state) {
         this.state = state;
     }
 
-    /** Microseconds until the invoker would have answered; ranking weighs what is uncertain. */
+    /**
+     * Estimates the time until the invoker would answer a request for the function.
+     *
+     * @param ranking true to compare invokers: at an invoker without a known instance a load then
+     *     counts by its probability, and an unknown load time counts as the deadline; false to
+     *     decide on a rejection: such a load then counts fully if it is likelier than not and
+     *     otherwise not at all, and an unknown load time counts as 0
+     */
     double finishMicros(FunctionState function, InvokerState invoker, boolean ranking) {
         return waitAndRunMicros(function, invoker) + loadMicrosAt(function, invoker, ranking);
     }
 
-    /** The estimate without the load. */
+    /**
+     * Estimates the time that a request would spend in the invoker's queues and running, without a
+     * load. Silence of the invoker for longer than two runs, and the rest of its backoff after a
+     * full response, count as waiting.
+     */
     double waitAndRunMicros(FunctionState function, InvokerState invoker) {
         FunctionInstance instance = state.instanceAt(invoker, function);
         double run = runMicrosAt(function, invoker);
         double queued = fadeToAverage(invoker, invoker.queuedRequests, state.averageQueuedRequests);
-        double queue = queued * runMicros(function) / UNHINDERED_REQUESTS;
+        double queue = queued * runMicros(function) / PARALLEL_REQUESTS;
         if (instance != null) {
             double capacity = instance.count * (double) function.concurrencyPerInstance;
-            double waiting = instance.inFlight + instance.otherRequests + 1 - capacity;
-            queue += Math.max(0, waiting) * run / capacity;
+            double queuedForInstance = instance.inFlight + instance.otherRequests + 1 - capacity;
+            queue += Math.max(0, queuedForInstance) * run / capacity;
         }
-        double unheard = state.now - invoker.silentSince - 2 * run;
-        double silence = invoker.warmInFlight > 0 ? Math.max(0, unheard) : 0;
+        double silentBeyondRun = state.now - invoker.silentSince - 2 * run;
+        double silence = invoker.warmInFlight > 0 ? Math.max(0, silentBeyondRun) : 0;
         return queue + run + silence + Math.max(0, invoker.fullUntil - state.now);
     }
 
-    /** The part of the estimate that is a load. */
+    /**
+     * Estimates the time that a request would wait for the function to be loaded at the invoker.
+     *
+     * @param ranking as for {@link #finishMicros}
+     */
     double loadMicrosAt(FunctionState function, InvokerState invoker, boolean ranking) {
         FunctionInstance instance = state.instanceAt(invoker, function);
-        double full = loadMicros(function, ranking);
+        double loadMicros = loadMicros(function, ranking);
         if (instance == null) {
             double probability = ranking ? coldProbability : coldProbability > 0.5 ? 1 : 0;
-            return probability * full * (1 + LOAD_DELAY_SHARE * invoker.loadingFunctions);
+            return probability * loadMicros * (1 + LOAD_DELAY_SHARE * invoker.loadingFunctions);
         }
         if (!instance.isLoading()) {
             return 0;
         }
-        double left = full - (state.now - instance.loadingSince);
-        return instance.loadProbability * Math.max(full * LOAD_DELAY_SHARE, left);
+        double remaining = loadMicros - (state.now - instance.loadingSince);
+        return instance.loadProbability * Math.max(loadMicros * LOAD_DELAY_SHARE, remaining);
     }
 
-    /** Usual run time, corrected by how slow the invoker is and by its concurrent requests. */
+    /**
+     * Estimates the run time of the function at the invoker: its usual run time, corrected by the
+     * invoker's slowness and by its concurrent requests.
+     */
     double runMicrosAt(FunctionState function, InvokerState invoker) {
-        boolean measured = invoker.averageUsualMicros != 0;
-        double usual = measured ? invoker.averageConcurrentRequests : state.averageOtherRequests;
-        double hindered = concurrentRequests(invoker) + UNHINDERED_REQUESTS;
-        return runMicros(function) * invoker.slowness * hindered / (usual + UNHINDERED_REQUESTS);
+        boolean hasResponses = invoker.averageUsualMicros != 0;
+        double usual =
+                hasResponses ? invoker.averageConcurrentRequests : state.averageOtherRequests;
+        double runningRequests = concurrentRequests(invoker) + PARALLEL_REQUESTS;
+        return runMicros(function)
+                * invoker.slowness
+                * runningRequests
+                / (usual + PARALLEL_REQUESTS);
     }
 
-    /** The estimate with what a choice costs beyond time, in units of the objective. */
+    /**
+     * Returns the cost by which the candidates for a request are compared, in microseconds: the
+     * finish-time estimate, the cost of crossing zones, and the expected cost of a failed attempt.
+     * The settings state the cost of crossing zones as a multiple of the latency objective.
+     */
     double costMicros(RequestState request, InvokerState invoker) {
         double objective = request.requestClass.objectiveMicros();
-        boolean crosses = invoker.endpoint.zone() != state.settings.zone();
-        double crossing = crosses ? state.settings.costs().crossZone() * objective : 0;
+        boolean crossesZones = invoker.endpoint.zone() != state.settings.zone();
+        double crossZoneCost = crossesZones ? state.settings.costs().crossZone() * objective : 0;
         DecayingSum failures = invoker.failureShare.get(request.failureScope);
-        double retry = failures == null ? 0 : failures.value(state.now) * FAILURE_COST * objective;
-        return finishMicros(request.function, invoker, true) + crossing + retry;
+        double failureCost =
+                failures == null
+                        ? 0
+                        : failures.value(state.now) * FAILURE_COST_OBJECTIVES * objective;
+        return finishMicros(request.function, invoker, true) + crossZoneCost + failureCost;
     }
 
-    /** Requests at work there; those that wait for a load use no core. */
+    /**
+     * Returns the estimated number of requests that the invoker is running. Requests that wait for
+     * a load are left out, because they use no core.
+     */
     double concurrentRequests(InvokerState invoker) {
         return invoker.warmInFlight
                 + fadeToAverage(invoker, invoker.otherRequests, state.averageOtherRequests);
     }
 
-    /** What was last reported, fading to the average of all: an unheard invoker is average. */
+    /**
+     * Returns a value from the invoker's last load report, moved towards the average of all
+     * invokers as the report ages. An invoker without a report counts as average.
+     */
     double fadeToAverage(InvokerState invoker, double reported, double average) {
         double age = invoker.loadReportedAt - state.now;
         double weight = invoker.loadReportedAt == 0 ? 0 : Math.exp(age / RATE_DECAY_MICROS);
         return average + (reported - average) * weight;
     }
 
-    /** Usual run time of a function, or a share of its objective before the first response. */
+    /**
+     * Returns the usual run time of the function in microseconds; before its first response, a
+     * share of the latency objective of its request class.
+     */
     double runMicros(FunctionState function) {
         long objective = state.settings.classes().get(function.requestClass).objectiveMicros();
         return function.runMicros > 0 ? function.runMicros : INITIAL_RUN_SHARE * objective;
     }
 
-    /** Load time; where unknown, cold invokers rank behind warm ones and no request is rejected. */
+    /**
+     * Returns the load time of the function in microseconds: the declared one, raised to half the
+     * measured average of all functions, or else that average. If neither is known, it is the
+     * deadline for ranking, so that cold invokers rank behind warm ones, and otherwise 0, so that
+     * no request is rejected.
+     */
     double loadMicros(FunctionState function, boolean ranking) {
         if (function.declaredLoadMicros > 0) {
             return Math.max(function.declaredLoadMicros, state.averageLoadMicros / 2);
--- a/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
+++ b/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
@@ -18,15 +18,16 @@
 import waytrestle.scheduler.SchedulerTimer.RequestDeadline;
 
 /**
- * The request scheduler. For each request it estimates each invoker's finish time as queue + run +
- * load-if-cold, sends to the lowest, and rejects early when even the best estimate exceeds the time
- * left. Everything else filters the candidates or corrects a term of that estimate.
+ * The request scheduler. For each request it estimates each invoker's finish time as time in the
+ * queue plus run time plus, if the function is not loaded there, load time. It sends the request to
+ * the invoker with the lowest estimate, and rejects it early when even that exceeds the time left.
+ * All other rules filter the candidates or correct a term of the estimate.
  *
- * <p>This class takes the events in, keeps count of requests and attempts, and hands each event to
- * the part that decides. In the order of a request's path these are {@link RequestRouter}, {@link
- * InvokerSelector}, {@link FinishTimeEstimate}, {@link SlowStartBudget}, {@link RetryRules}, {@link
- * ResponseLearner}, {@link InvokerBackoff}, {@link ReadinessLeases}, {@link PreloadPlanner} and
- * {@link StateMaintenance}. They share one {@link SchedulerState}.
+ * <p>This class receives the events, keeps count of requests and attempts, and passes each event to
+ * the part that decides. In the order of a request's path the parts are {@link RequestRouter},
+ * {@link InvokerSelector}, {@link FinishTimeEstimate}, {@link SlowStartBudget}, {@link RetryRules},
+ * {@link ResponseLearner}, {@link InvokerBackoff}, {@link ReadinessLeases}, {@link PreloadPlanner}
+ * and {@link StateMaintenance}. All parts share one {@link SchedulerState}.
  *
  * <p>Not thread-safe: all calls come from the controller's event loop.
  */
@@ -40,7 +41,10 @@
     private final ReadinessLeases leases;
     private boolean started;
 
-    /** A scheduler that knows no invoker yet; equal seeds and events give equal commands. */
+    /**
+     * Creates a scheduler that knows no invoker yet. Schedulers with equal settings, seeds and
+     * events issue equal commands.
+     */
     public FinishTimeScheduler(SchedulerSettings settings, long seed) {
         state = new SchedulerState(settings, seed);
         FinishTimeEstimate estimate = new FinishTimeEstimate(state);
@@ -100,8 +104,9 @@
 
     private void requestReceived(RequestReceived event) {
         RequestState request = state.addRequest(event);
-        long untilEnd = Math.max(1, event.timeLeftMicros() - state.settings.tickMicros());
-        state.commands.add(new SetTimer(untilEnd, new RequestDeadline(request.id)));
+        long untilDeadlineMicros =
+                Math.max(1, event.timeLeftMicros() - state.settings.tickMicros());
+        state.commands.add(new SetTimer(untilDeadlineMicros, new RequestDeadline(request.id)));
         router.route(request);
     }
 
@@ -126,7 +131,9 @@
     }
 
     /**
-     * What waited for the invoker's readiness goes on: preloads where it passed, requests anyway.
+     * Records the result of a health check. Requests the preloads deferred until then if the
+     * invoker may get new work, and routes the requests that waited for the check, whatever its
+     * result.
      */
     private void healthCheckCompleted(HealthCheckCompleted event) {
         InvokerState invoker = state.invokers.get(event.invoker());
--- a/src/main/java/waytrestle/scheduler/FunctionInstance.java
+++ b/src/main/java/waytrestle/scheduler/FunctionInstance.java
@@ -1,28 +1,35 @@
 package waytrestle.scheduler;
 
 /**
- * The belief that an invoker holds instances of a function, from this controller's own sends and
- * responses.
+ * What a controller believes about the instances of one function at one invoker, from its own
+ * attempts and preloads and the responses to them. Times are in microseconds on the scheduler's
+ * clock.
  */
 final class FunctionInstance {
     final FunctionState function;
+
+    /** Number of instances believed to be at the invoker, loaded or loading. */
     int count = 1;
 
-    /** Own attempts in flight there for the function. */
+    /** This controller's attempts in flight at the invoker for the function. */
     int inFlight;
 
-    /** Other controllers' requests for the function there, averaged. */
+    /** Average number of other controllers' requests for the function at the invoker. */
     double otherRequests;
 
+    /** When the instances were last known to be used; the keep-alive counts from then. */
     long lastUsedAt;
 
-    /** When its load began; 0 once it is loaded. */
+    /** When the load began; 0 once the function is loaded. */
     long loadingSince;
 
-    /** Probability that it has to be loaded at all, while it counts as loading. */
+    /**
+     * Probability that a load is under way while the function counts as loading; below 1 after an
+     * attempt to an invoker that may have held an unknown instance.
+     */
     double loadProbability = 1;
 
-    /** Whether a preload request for it is in flight. */
+    /** Whether a preload request for the function to the invoker is in flight. */
     boolean preloadInFlight;
 
     FunctionInstance(FunctionState function, long nowMicros) {
@@ -31,6 +38,7 @@
         this.lastUsedAt = nowMicros;
     }
 
+    /** Returns whether the function counts as still loading at the invoker. */
     boolean isLoading() {
         return loadingSince > 0;
     }
--- a/src/main/java/waytrestle/scheduler/FunctionState.java
+++ b/src/main/java/waytrestle/scheduler/FunctionState.java
@@ -2,29 +2,49 @@
 
 import waytrestle.stats.DecayingSum;
 
-/** What is known of one function. Owned by the scheduler; expires after long disuse. */
+/**
+ * What a scheduler knows about one function; forgotten after ten keep-alives without a request.
+ * Times are in microseconds on the scheduler's clock.
+ */
 final class FunctionState {
     final String id;
+
+    /** Hash of the id, for the ranking of invokers. */
     final long hash;
 
-    /** Where this controller starts among the invokers that a busy function needs, 0 to 1. */
+    /**
+     * Random number from 0 to 1 by which this controller chooses among the invokers that the
+     * requests for the function would fill, so that controllers spread a busy function.
+     */
     final double placement;
 
-    /** Requests within about one keep-alive. */
+    /** Requests for the function; each weighs 1/e after one keep-alive. */
     final DecayingSum recentRequests;
 
+    /** Index, in the settings, of the class of the last request. */
     int requestClass;
+
+    /** Requests that one instance runs at a time. */
     int concurrencyPerInstance = 1;
+
+    /** Load time that the last request stated; zero or negative if unknown. */
     long declaredLoadMicros;
 
-    /** Usual time of a warm response, in microseconds; 0 before the first one. */
+    /** Average time until a warm response; 0 before the first one. */
     double runMicros;
 
+    /** Warm responses behind {@link #runMicros}. */
     int measuredRuns;
+
+    /** Requests received for the function. */
     int requestCount;
+
     long lastRequestAt;
 
-    /** Where its instance is kept alive, during one round of maintenance. */
+    /**
+     * The highest-ranked usable invoker that holds the function, or null. Set only while
+     * maintenance runs.
+     */
     InvokerState keepAliveInvoker;
 
     FunctionState(String id, double placement, double keepAliveMicros) {
@@ -34,13 +54,13 @@
         this.hash = RendezvousHash.hash(id);
     }
 
-    /** Takes over what a new request of the function tells. */
-    void recordRequest(SchedulerEvent.RequestReceived request, long nowMicros) {
+    /** Counts a new request for the function and takes over what the request states about it. */
+    void recordRequest(SchedulerEvent.RequestReceived event, long nowMicros) {
         requestCount++;
         lastRequestAt = nowMicros;
         recentRequests.add(1, nowMicros);
-        requestClass = request.requestClass();
-        concurrencyPerInstance = Math.max(1, request.concurrencyPerInstance());
-        declaredLoadMicros = request.loadMicros();
+        requestClass = event.requestClass();
+        concurrencyPerInstance = Math.max(1, event.concurrencyPerInstance());
+        declaredLoadMicros = event.loadMicros();
     }
 }
--- a/src/main/java/waytrestle/scheduler/Idempotency.java
+++ b/src/main/java/waytrestle/scheduler/Idempotency.java
@@ -2,9 +2,12 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-    /** A repeated execution has no further effect. */
+    /** Another execution has no further effect. */
     IDEMPOTENT,
-    /** Carries an idempotency key: invokers of one scope drop duplicates for a limited window. */
+    /**
+     * The request carries an idempotency key: the invokers of its {@link DeduplicationScope} drop
+     * duplicates within the deduplication window.
+     */
     KEYED,
     /** A second execution would double the effect. */
     NON_IDEMPOTENT
--- a/src/main/java/waytrestle/scheduler/InvokerBackoff.java
+++ b/src/main/java/waytrestle/scheduler/InvokerBackoff.java
@@ -2,18 +2,47 @@
 
 import waytrestle.scheduler.SchedulerCommand.CancelAttempt;
 
-/** Keeps requests away from invokers that cannot be reached, reset, are full or fall silent. */
+/**
+ * Keeps requests away from invokers that cannot be reached, reset connections, are at capacity or
+ * no longer respond.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class InvokerBackoff {
-    private static final long BACKOFF_MICROS = 300_000; // first after a failed connection; doubles
-    private static final long MAX_BACKOFF_MICROS = 4_000_000; // about a restart
-    private static final long FULL_BACKOFF_MICROS = 80_000; // less than a run; doubles in a row
-    private static final long MAX_FULL_BACKOFF_MICROS = 600_000; // a few runs drain a queue
-    private static final int MAX_DOUBLINGS = 6; // by then each backoff is at its longest
-    private static final long MIN_SILENCE_MICROS = 400_000; // some runs, not one slow request
-    private static final double SILENCE_RUNS = 8; // usual runs: hardly chance with several attempts
-    private static final int SILENCE_ATTEMPTS = 2; // warm ones in flight; one may just be long
-    private static final long SIMULTANEOUS_MICROS = 50_000; // resets of one process that ends
-    private static final double RESET_CHANCE = 0.002; // so rarely may resets in a row be chance
+    /** Pause after the first failed connection; doubles with each further failure in a row. */
+    private static final long BACKOFF_MICROS = 300_000;
+
+    /** Longest pause; about the time that a restart takes. */
+    private static final long MAX_BACKOFF_MICROS = 4_000_000;
+
+    /**
+     * Backoff after the first full response; shorter than a usual run, and doubles with each
+     * further full response in a row.
+     */
+    private static final long FULL_BACKOFF_MICROS = 80_000;
+
+    /** Longest backoff after full responses; a queue drains within a few runs. */
+    private static final long MAX_FULL_BACKOFF_MICROS = 600_000;
+
+    /** Doublings after which both backoffs have reached their longest. */
+    private static final int MAX_DOUBLINGS = 6;
+
+    /** Least time without a response that counts as silence; several runs, not one slow request. */
+    private static final long MIN_SILENCE_MICROS = 400_000;
+
+    /**
+     * Average run times without a response that count as silence; hardly chance for two attempts.
+     */
+    private static final double SILENCE_RUNS = 8;
+
+    /** Warm attempts in flight from which on silence counts; a single one may just take long. */
+    private static final int SILENCE_ATTEMPTS = 2;
+
+    /** Longest time between the resets that one ending process causes. */
+    private static final long SIMULTANEOUS_MICROS = 50_000;
+
+    /** Probability below which resets in a row are not taken for chance. */
+    private static final double RESET_CHANCE = 0.002;
 
     private final SchedulerState state;
 
@@ -21,13 +50,21 @@
         this.state = state;
     }
 
-    /** A paused invoker is left alone; after the pause one attempt at a time tries it. */
+    /**
+     * Returns whether the invoker may be sent nothing now. After a pause it may be sent one attempt
+     * at a time, until it responds.
+     */
     boolean isPaused(InvokerState invoker) {
         return state.now < invoker.pausedUntil
                 || (invoker.consecutiveFailures > 0 && invoker.inFlight > 0);
     }
 
-    /** A refused connection, or broken ones: where the process has ended, all it held is gone. */
+    /**
+     * Pauses the invoker after a failed connection or after resets.
+     *
+     * @param processEnded whether its process has presumably ended; the invoker's instances are
+     *     then forgotten, and it counts as just started
+     */
     void pause(InvokerState invoker, boolean processEnded) {
         invoker.consecutiveFailures++;
         if (processEnded) {
@@ -43,52 +80,61 @@
     }
 
     /**
-     * Guards against an invoker whose connections break, by how often they do everywhere: so many
-     * in a row that chance would hardly bring them are worth a pause. Only where all attempts there
-     * break at once has the process ended: an invoker taken for fresh gets next to nothing until it
-     * has warmed up.
+     * Records a reset connection, and pauses the invoker after so many in a row that, by the share
+     * of resets at all invokers, they are hardly chance. The process is taken for ended only if all
+     * its attempts were reset at once, because an invoker that counts as just started is sent very
+     * little until its slow start is over.
      */
     void recordReset(InvokerState invoker) {
         long sinceLast = state.now - invoker.lastResetAt;
         boolean simultaneous = sinceLast <= SIMULTANEOUS_MICROS && invoker.inFlight == 0;
         invoker.lastResetAt = state.now;
         invoker.consecutiveResets++;
-        double usual = Math.max(RESET_CHANCE, state.resetShare);
-        if (invoker.consecutiveResets >= Math.max(2, Math.log(RESET_CHANCE) / Math.log(usual))) {
+        double resetShare = Math.max(RESET_CHANCE, state.resetShare);
+        if (invoker.consecutiveResets
+                >= Math.max(2, Math.log(RESET_CHANCE) / Math.log(resetShare))) {
             pause(invoker, simultaneous);
         }
     }
 
     /**
-     * Full for a load blocks loads there; full for a warm instance adds its backoff to the
-     * invoker's queue term, so that waiting is weighed against a load elsewhere: loads begun at
-     * every full response congest the function store.
+     * Records a full response. After a cold attempt, the invoker is sent no loads for the backoff.
+     * After a warm attempt, the rest of the backoff counts as time in the invoker's queue, so that
+     * waiting is weighed against a load elsewhere: a load at every full response would congest the
+     * function store.
      */
     void recordFullResponse(InvokerState invoker, boolean cold) {
         int doublings = Math.min(MAX_DOUBLINGS, invoker.consecutiveFullResponses++);
         long backoff = Math.min(MAX_FULL_BACKOFF_MICROS, FULL_BACKOFF_MICROS << doublings);
-        long until = state.now + backoff;
+        long backoffEnd = state.now + backoff;
         if (cold) {
-            invoker.noLoadsUntil = until;
+            invoker.noLoadsUntil = backoffEnd;
         } else {
-            invoker.fullUntil = until;
+            invoker.fullUntil = backoffEnd;
         }
     }
 
     /**
-     * Guards requests against an invoker that takes them and gives no sign (a machine or zone cut
-     * off): with several in flight, or after a failed connection, silence far beyond their run is
-     * not theirs. What is idempotent is taken back and estimated anew. It can hurt where an invoker
-     * only stalls: its work is lost; and where requests wait for loads at invokers silence says
-     * nothing, so only where not-loaded responses are sent.
+     * Pauses an invoker that accepts requests and no longer responds, such as a machine or zone cut
+     * off from the network, and cancels its idempotent attempts so that their requests are routed
+     * anew. Silence counts when it lasts far longer than a run with several warm attempts in
+     * flight, or with one after a failed connection.
+     *
+     * <p>Drawback: the work of an invoker that only stalls is lost. Applies only where invokers
+     * send not-loaded responses: otherwise silent attempts may wait for a load.
      */
     void checkSilence(InvokerState invoker) {
-        double runs = SILENCE_RUNS * state.averageRunMicros * Math.max(1, invoker.slowness);
-        boolean quiet = state.now - invoker.silentSince > Math.max(MIN_SILENCE_MICROS, runs);
-        boolean failing = invoker.warmInFlight > 0 && invoker.consecutiveFailures > 0;
-        boolean several = invoker.warmInFlight >= SILENCE_ATTEMPTS || failing;
-        boolean conclusive = state.settings.preloading().reportsNotLoaded();
-        if (several && quiet && conclusive && state.settings.limits().mayCancel()) {
+        double silenceMicros =
+                SILENCE_RUNS * state.averageRunMicros * Math.max(1, invoker.slowness);
+        boolean silent =
+                state.now - invoker.silentSince > Math.max(MIN_SILENCE_MICROS, silenceMicros);
+        boolean afterFailure = invoker.warmInFlight > 0 && invoker.consecutiveFailures > 0;
+        boolean enoughAttempts = invoker.warmInFlight >= SILENCE_ATTEMPTS || afterFailure;
+        boolean silenceIsConclusive = state.settings.preloading().reportsNotLoaded();
+        if (enoughAttempts
+                && silent
+                && silenceIsConclusive
+                && state.settings.limits().mayCancel()) {
             invoker.silentSince = state.now;
             pause(invoker, false);
             state.requests.values().forEach(request -> cancelSilentAttempts(request, invoker));
@@ -102,8 +148,8 @@
         }
         for (int i = 0; i < request.attempts.size(); i++) {
             AttemptState attempt = request.attempts.get(i);
-            boolean there = !attempt.completed && attempt.invoker == invoker;
-            if (there && state.now - attempt.sentAt > MIN_SILENCE_MICROS) {
+            boolean inFlightThere = !attempt.completed && attempt.invoker == invoker;
+            if (inFlightThere && state.now - attempt.sentAt > MIN_SILENCE_MICROS) {
                 state.commands.add(new CancelAttempt(request.id, i));
             }
         }
--- a/src/main/java/waytrestle/scheduler/InvokerEndpoint.java
+++ b/src/main/java/waytrestle/scheduler/InvokerEndpoint.java
@@ -1,11 +1,16 @@
 package waytrestle.scheduler;
 
 /**
- * An invoker as service discovery lists it.
+ * An invoker's entry in the endpoint list of service discovery. Immutable.
  *
- * @param kind index of its kind in the settings
- * @param startedAtMicros when its present process started, on the scheduler's clock; 0 when long
- *     ago or not reported
+ * @param id name of the invoker
+ * @param zone number of the zone that the invoker is in
+ * @param cell number of the cell that the invoker is in
+ * @param kind index of the invoker's kind in the settings
+ * @param state whether the invoker accepts requests
+ * @param weight the invoker's weight among the invokers, from service discovery
+ * @param startedAtMicros when the invoker's present process started, in microseconds on the
+ *     scheduler's clock; 0 if that is long ago or was not reported
  */
 public record InvokerEndpoint(
         String id,
--- a/src/main/java/waytrestle/scheduler/InvokerSelector.java
+++ b/src/main/java/waytrestle/scheduler/InvokerSelector.java
@@ -1,10 +1,20 @@
 package waytrestle.scheduler;
 
-/** Chooses the invoker of a request: the lowest cost among the candidates, level ones by rank. */
+/**
+ * Chooses the invoker for a request: the candidate with the lowest cost, and among candidates of
+ * nearly equal cost the one that {@link RendezvousHash} ranks highest.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class InvokerSelector {
-    private static final double COLD_TIE = 0.5; // of a load time: cold invokers so close are level
-    private static final double WARM_TIE = 0.15; // of the objective: warm ones so close are level
-    private static final double HEADROOM = 1.5; // over the share of the fleet a function would fill
+    /** Share of the load time within which the costs of cold invokers count as equal. */
+    private static final double COLD_TIE_SHARE = 0.5;
+
+    /** Share of the latency objective within which the costs of warm invokers count as equal. */
+    private static final double WARM_TIE_SHARE = 0.15;
+
+    /** Multiple of the invokers that a function's requests would fill, among which it is spread. */
+    private static final double HEADROOM = 1.5;
 
     private final SchedulerState state;
     private final FinishTimeEstimate estimate;
@@ -29,21 +39,27 @@
     }
 
     /**
-     * The lowest cost, or null without a candidate. Level ones, warm or cold alike, are told apart
-     * by rank and not at random: against instances strewn over the fleet by controllers that cannot
-     * agree, which evict each other.
+     * Returns the candidate with the lowest cost, or null if there is no candidate. Candidates of
+     * nearly equal cost are chosen by rank and not at random: controllers that choose differently
+     * would spread a function's instances over all invokers, where instances evict each other.
      */
     InvokerState lowestCostInvoker(RequestState request) {
-        double warmTie = WARM_TIE * request.requestClass.objectiveMicros();
-        InvokerState warm = bestRanked(request, true, warmTie);
+        double warmTieMicros = WARM_TIE_SHARE * request.requestClass.objectiveMicros();
+        InvokerState warm = bestRanked(request, true, warmTieMicros);
         InvokerState cold = bestCold(request);
         if (warm == null || cold == null) {
             return warm == null ? cold : warm;
         }
-        return estimate.costMicros(request, cold) < estimate.costMicros(request, warm) ? cold : warm;
+        return estimate.costMicros(request, cold) < estimate.costMicros(request, warm)
+                ? cold
+                : warm;
     }
 
-    /** Where one more instance would help, if only some invokers are congested; else null. */
+    /**
+     * Returns the cold candidate with the lowest cost if a run there would take less than the
+     * latency objective, so that one more instance would help; null if there is none or it is
+     * congested too.
+     */
     InvokerState uncongestedColdInvoker(RequestState request) {
         InvokerState cold = bestCold(request);
         long objective = request.requestClass.objectiveMicros();
@@ -52,22 +68,24 @@
     }
 
     private InvokerState bestCold(RequestState request) {
-        return bestRanked(request, false, COLD_TIE * estimate.loadMicros(request.function, true));
+        return bestRanked(
+                request, false, COLD_TIE_SHARE * estimate.loadMicros(request.function, true));
     }
 
-    private InvokerState bestRanked(RequestState request, boolean warm, double tolerance) {
+    private InvokerState bestRanked(RequestState request, boolean warm, double tieMicros) {
         FunctionState function = request.function;
         double lowest = Double.MAX_VALUE;
         for (InvokerState invoker : state.invokers.values()) {
             boolean eligible = isCandidate(request, invoker) && warm == isWarm(invoker, function);
-            double cost = eligible ? estimate.costMicros(request, invoker) : Double.POSITIVE_INFINITY;
+            double cost =
+                    eligible ? estimate.costMicros(request, invoker) : Double.POSITIVE_INFINITY;
             invoker.candidateCostMicros = cost;
             lowest = Math.min(lowest, cost);
         }
-        int place = warm ? 0 : coldPlace(request);
+        int position = warm ? 0 : coldPosition(request);
         InvokerState best = null;
-        for (int i = 0; i <= place; i++) {
-            InvokerState next = nextRanked(function, best, lowest + tolerance);
+        for (int i = 0; i <= position; i++) {
+            InvokerState next = nextRanked(function, best, lowest + tieMicros);
             best = next == null ? best : next;
         }
         return best;
@@ -77,12 +95,18 @@
         return state.instanceAt(invoker, function) != null;
     }
 
-    /** The highest-ranked invoker below another whose cost is within the bound, or null. */
-    private InvokerState nextRanked(FunctionState function, InvokerState above, double maxCost) {
+    /**
+     * Returns the highest-ranked invoker whose cost is at most the given one and that ranks below
+     * another invoker, or null if there is none.
+     *
+     * @param above invoker to rank below; null for no such bound
+     */
+    private InvokerState nextRanked(
+            FunctionState function, InvokerState above, double maxCostMicros) {
         InvokerState next = null;
         for (InvokerState invoker : state.invokers.values()) {
             boolean below = above == null || RendezvousHash.prefers(function, above, invoker);
-            boolean eligible = invoker.candidateCostMicros <= maxCost && below;
+            boolean eligible = invoker.candidateCostMicros <= maxCostMicros && below;
             if (eligible && (next == null || RendezvousHash.prefers(function, invoker, next))) {
                 next = invoker;
             }
@@ -91,26 +115,30 @@
     }
 
     /**
-     * Where this controller starts among the invokers that a function's share of all requests would
-     * fill, with headroom: each controller has a place of its own, and a retry goes one further.
-     * Few requests count for less: chance must not strew instances.
+     * Returns the position, from 0, of the cold invoker to choose among the candidates in order of
+     * rank. The function's share of all requests, with headroom, determines how many invokers it is
+     * spread over; each controller has its own place among these, and each earlier attempt of the
+     * request narrows them by one. The square root of the number of requests is subtracted from it,
+     * so that a chance burst does not spread a rare function's instances.
      */
-    private int coldPlace(RequestState request) {
+    private int coldPosition(RequestState request) {
         FunctionState function = request.function;
         double recent = function.recentRequests.value(state.now);
-        double certain = recent - Math.sqrt(recent);
-        double all = Math.max(1, state.recentRequests.value(state.now));
-        double width = Math.max(1, HEADROOM * state.invokers.size() * certain / all);
+        double cautiousRecent = recent - Math.sqrt(recent);
+        double allRecent = Math.max(1, state.recentRequests.value(state.now));
+        double width = Math.max(1, HEADROOM * state.invokers.size() * cautiousRecent / allRecent);
         return (int) (function.placement * (width - request.attempts.size()));
     }
 
     /**
-     * Guards as filters: draining, health, readiness, what this request has tried, retries, slow
-     * start.
+     * Returns whether the request may be sent to the invoker: neither draining, paused, of unknown
+     * readiness, already tried for the request, outside the request's deduplication scope, over its
+     * slow-start budget, nor cold while it is sent no loads.
      */
     private boolean isCandidate(RequestState request, InvokerState invoker) {
-        boolean loads = state.now >= invoker.noLoadsUntil || isWarm(invoker, request.function);
-        return loads
+        boolean warmOrMayLoad =
+                state.now >= invoker.noLoadsUntil || isWarm(invoker, request.function);
+        return warmOrMayLoad
                 && invoker.ready
                 && !backoff.isPaused(invoker)
                 && leases.isCandidate(invoker)
--- a/src/main/java/waytrestle/scheduler/InvokerState.java
+++ b/src/main/java/waytrestle/scheduler/InvokerState.java
@@ -7,79 +7,115 @@
 import waytrestle.stats.DecayingSum;
 
 /**
- * What is known of one invoker. Owned by the scheduler; removed once it is neither ready nor has an
- * own attempt in flight.
+ * What a scheduler knows about one invoker; removed once the invoker is not ready and has no
+ * attempt of this controller in flight. Times are in microseconds on the scheduler's clock.
  */
 final class InvokerState {
     final String id;
+
+    /** Hash of the id, for the ranking of invokers. */
     final long hash;
+
+    /** The invoker's last entry in the endpoint list. */
     InvokerEndpoint endpoint;
+
+    /** Whether the last endpoint list names the invoker as ready. */
     boolean ready;
 
-    /** What is known of that while the list may be outdated. */
+    /** What is known about the invoker's readiness while the endpoint list may be outdated. */
     final ReadinessLease readinessLease = new ReadinessLease();
 
-    // Own work there.
+    // This controller's work at the invoker.
+    /** Attempts in flight. */
     int inFlight;
 
-    /** Those attempts in flight that do not wait for a load. */
+    /** Warm attempts in flight: those that do not wait for a load. */
     int warmInFlight;
 
+    /** Preload requests in flight. */
     int preloadsInFlight;
 
-    /** Functions believed to be loading there. */
+    /** Number of functions believed to be loading at the invoker. */
     int loadingFunctions;
 
-    /** When something was last heard, or sent after idleness. */
+    /**
+     * When the invoker last responded, or was sent a warm attempt while it had none in flight. Its
+     * silence counts from then.
+     */
     long silentSince;
 
+    /** Functions believed to be loaded or loading at the invoker, by function id. */
     final Map<String, FunctionInstance> instances = new LinkedHashMap<>();
 
-    // Speed, learned from responses.
-    /** Response times over the usual times of their functions. */
+    // Speed, learned from warm responses.
+    /** Ratio of response times at the invoker to the usual run times of their functions. */
     double slowness = 1;
 
+    /** Average response time at the invoker. */
     double averageElapsedMicros;
+
+    /** Average of the usual run times of the functions that responded; 0 before any response. */
     double averageUsualMicros;
 
-    /** Requests at work there when the responses behind that slowness were sent. */
+    /**
+     * Average number of requests that the invoker was running when the attempts behind {@link
+     * #slowness} were sent.
+     */
     double averageConcurrentRequests;
 
-    // Load, as reported.
+    // Averages of the invoker's load reports.
+    /** Requests in the invoker's queue, without those that wait for a load. */
     double queuedRequests;
+
+    /** Requests of other controllers that the invoker runs. */
     double otherRequests;
+
+    /** When the last load report arrived; 0 before any. */
     long loadReportedAt;
 
     // Failures.
-    /** Share of failed attempts, by scope of the request. */
+    /** Share of failed attempts, by {@link RequestState#failureScope}; decays over a keep-alive. */
     final Map<Integer, DecayingSum> failureShare = new HashMap<>();
 
+    /** End of the backoff after full responses to warm attempts. */
     long fullUntil;
+
+    /** End of the backoff after full responses to cold attempts. */
     long noLoadsUntil;
+
     int consecutiveFullResponses;
+
+    /** Pauses since the invoker last responded. */
     int consecutiveFailures;
+
     int consecutiveResets;
     long lastResetAt;
+
+    /** End of the pause in which the invoker is sent nothing. */
     long pausedUntil;
 
-    /** Whether its process was taken for ended at the last failures. */
+    /** Whether the invoker's process has been taken for ended since the invoker last responded. */
     boolean processEnded;
 
     // Slow start.
-    /** Start of its present process; 0 when long past. */
+    /** When the invoker's present process started; 0 if that is long ago. */
     long slowStartSince;
 
-    /** The window that the draw below is for. */
+    /** Number of the window that {@link #budgetRounding} was drawn for. */
     long budgetRoundingWindow;
 
+    /** Random number from 0 to 1 by which the window's slow-start budget is rounded. */
     double budgetRounding;
 
-    /** Sum of the sizes below. */
+    /** Sum of the relative sizes in {@link #slowStartSends}. */
     double slowStartSizeSum;
 
+    /** Attempts sent during slow start, oldest first. */
     final ArrayDeque<SlowStartSend> slowStartSends = new ArrayDeque<>();
 
-    /** Cost in the choice at hand; infinite when it is no candidate. */
+    /**
+     * Cost for the request being routed, in microseconds; infinite if the invoker is no candidate.
+     */
     double candidateCostMicros;
 
     InvokerState(String id) {
@@ -87,14 +123,14 @@
         this.hash = RendezvousHash.hash(id);
     }
 
-    /** Forgets all instances: the process that held them has ended. */
+    /** Forgets all instances, because the process that held them has ended. */
     void clearInstances() {
         instances.clear();
         loadingFunctions = 0;
         preloadsInFlight = 0;
     }
 
-    /** Forgets failures and speed: a new process has done nothing yet. */
+    /** Forgets failures and speed, because they were those of a process that has ended. */
     void clearHealth() {
         consecutiveFailures = 0;
         pausedUntil = 0;
@@ -103,7 +139,7 @@
         averageUsualMicros = 0;
     }
 
-    /** The invoker answered, whatever it said. */
+    /** Records that the invoker responded, whatever the response. */
     void recordResponse(long nowMicros) {
         silentSince = nowMicros;
         consecutiveFailures = 0;
@@ -111,21 +147,24 @@
         processEnded = false;
     }
 
-    /** An instance there answered: it is loaded and there is capacity. */
+    /**
+     * Records that an instance at the invoker ran a request: the function is loaded there and the
+     * invoker has capacity.
+     */
     void recordUse(FunctionInstance instance, long nowMicros) {
         markLoaded(instance);
         instance.lastUsedAt = nowMicros;
         consecutiveFullResponses = 0;
     }
 
-    /** Counts no longer what was sent before a time. */
+    /** Drops the slow-start sends before a time. */
     void dropSlowStartSends(long before) {
         while (!slowStartSends.isEmpty() && slowStartSends.peek().sentAt() < before) {
             slowStartSizeSum -= slowStartSends.poll().relativeSize();
         }
     }
 
-    /** Remembers an instance that begins to load. */
+    /** Adds an instance that begins to load, and returns it. */
     FunctionInstance addLoadingInstance(FunctionState function, long nowMicros) {
         FunctionInstance instance = new FunctionInstance(function, nowMicros);
         loadingFunctions++;
@@ -133,7 +172,7 @@
         return instance;
     }
 
-    /** Counts a preload request as in flight. */
+    /** Counts a preload request for the function as in flight. */
     void startPreload(FunctionState function, long nowMicros) {
         FunctionInstance instance = instances.get(function.id);
         if (instance == null) {
@@ -143,13 +182,18 @@
         preloadsInFlight++;
     }
 
-    /** Counts it as in flight no longer. */
+    /** No longer counts the preload request for an instance as in flight. */
     void endPreload(FunctionInstance instance) {
         instance.preloadInFlight = false;
         preloadsInFlight--;
     }
 
-    /** The invoker reports so many loaded instances, used at that time or later. */
+    /**
+     * Records loaded instances of the function that the invoker reported.
+     *
+     * @param count number of loaded instances
+     * @param usedAt earliest possible time of the last use of the instances
+     */
     void recordLoaded(FunctionState function, int count, long usedAt, long nowMicros) {
         FunctionInstance instance = instances.get(function.id);
         if (instance == null) {
@@ -168,7 +212,7 @@
         }
     }
 
-    /** Forgets an instance, unless another has taken its place. */
+    /** Forgets an instance, unless the invoker holds another one for the function by now. */
     void removeInstance(FunctionInstance instance) {
         if (instances.get(instance.function.id) == instance) {
             markLoaded(instance);
@@ -176,6 +220,10 @@
         }
     }
 
-    /** An attempt sent while the invoker was warming up. */
+    /**
+     * An attempt sent during the invoker's slow start.
+     *
+     * @param relativeSize usual run time of the function over the average of all; at least 1
+     */
     record SlowStartSend(long sentAt, double relativeSize) {}
 }
--- a/src/main/java/waytrestle/scheduler/LoadMetricNames.java
+++ b/src/main/java/waytrestle/scheduler/LoadMetricNames.java
@@ -1,14 +1,14 @@
 package waytrestle.scheduler;
 
-/** Names of the metrics in load reports that the scheduler uses, as the settings name them. */
+/** Names of the metrics that the scheduler reads from load reports. */
 public final class LoadMetricNames {
-    /** Requests at the invoker, waiting ones included. */
+    /** Number of requests at the invoker, running and waiting. */
     public static final String IN_FLIGHT = "inflight";
 
-    /** Requests that wait there. */
+    /** Number of requests that wait at the invoker. */
     public static final String QUEUED = "queue";
 
-    /** Loads under way there. */
+    /** Number of loads under way at the invoker. */
     public static final String LOADING = "x1";
 
     private LoadMetricNames() {}
--- a/src/main/java/waytrestle/scheduler/LoadReportSource.java
+++ b/src/main/java/waytrestle/scheduler/LoadReportSource.java
@@ -1,11 +1,11 @@
 package waytrestle.scheduler;
 
-/** Where load reports of invokers come from. */
+/** Which messages of invokers carry load reports. */
 public enum LoadReportSource {
-    /** With each response. */
+    /** Every response to an attempt. */
     RESPONSES,
-    /** With responses to health checks. */
+    /** Responses to health checks. */
     HEALTH_CHECKS,
-    /** From nowhere. */
+    /** None: invokers send no load reports. */
     NONE
 }
--- a/src/main/java/waytrestle/scheduler/PreloadPlanner.java
+++ b/src/main/java/waytrestle/scheduler/PreloadPlanner.java
@@ -4,9 +4,14 @@
 import waytrestle.scheduler.SchedulerEvent.PreloadCompleted;
 import waytrestle.scheduler.SchedulerSettings.Preloading;
 
-/** Requests loads ahead of attempts, within their rate limit. */
+/**
+ * Sends preload requests, within the rate limit of the settings, and learns from their responses.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class PreloadPlanner {
-    private static final int MAX_PRELOADS_PER_INVOKER = 2; // in flight: the design's small bound
+    /** Preloads in flight to one invoker; the design sets a small bound. */
+    private static final int MAX_PRELOADS_PER_INVOKER = 2;
 
     private final SchedulerState state;
     private final InvokerBackoff backoff;
@@ -24,15 +29,21 @@
         this.learner = learner;
     }
 
-    /** Requests a load, unless one is in flight; false where none may be requested now. */
+    /**
+     * Sends a preload request for the function to the invoker, unless one is in flight. Where the
+     * invoker's readiness must be checked first, the preload is deferred until after the check.
+     *
+     * @param instances least number of loaded instances to ask for
+     * @return whether a preload request is in flight
+     */
     boolean preload(InvokerState invoker, FunctionState function, int instances) {
         FunctionInstance instance = invoker.instances.get(function.id);
         if (instance != null && instance.preloadInFlight) {
             return true;
         }
         boolean accepts = invoker.ready && state.settings.preloading().acceptsPreloads();
-        boolean busy = invoker.preloadsInFlight >= MAX_PRELOADS_PER_INVOKER;
-        if (!accepts || busy || !isWithinRateLimit()) {
+        boolean atMaxPreloads = invoker.preloadsInFlight >= MAX_PRELOADS_PER_INVOKER;
+        if (!accepts || atMaxPreloads || !isWithinRateLimit()) {
             return false;
         }
         if (!leases.mayStartWork(invoker)) {
@@ -54,11 +65,11 @@
         }
         state.dropOlderThan(state.preloadTimes, period);
         state.dropOlderThan(state.requestTimes, period);
-        double earned = preloading.preloadsPerRequest() * state.requestTimes.size();
-        return state.preloadTimes.size() + 1 <= preloading.freePreloads() + earned;
+        double earnedPreloads = preloading.preloadsPerRequest() * state.requestTimes.size();
+        return state.preloadTimes.size() + 1 <= preloading.freePreloads() + earnedPreloads;
     }
 
-    /** A preload request ended. */
+    /** Records the end of a preload request; ignores unknown functions and invokers. */
     void preloadCompleted(PreloadCompleted event) {
         FunctionState function = state.functions.get(event.function());
         InvokerState invoker = state.invokers.get(event.invoker());
@@ -90,9 +101,10 @@
     }
 
     /**
-     * Guards against preloads whose connection broke: one that was received takes effect all the
-     * same, and what was loaded before still is, so it is requested again where it was; at a
-     * process that has ended that fails, and where connections break in a row the pause ends it.
+     * Sends a preload again to the same invoker after its connection was reset: a preload that was
+     * received takes effect in spite of the reset, and functions loaded before stay loaded. The
+     * retries end when the connection fails because the process has ended, or when resets in a row
+     * pause the invoker.
      */
     private void retryAfterReset(
             InvokerState invoker, FunctionState function, FunctionInstance instance) {
--- a/src/main/java/waytrestle/scheduler/ReadinessLeases.java
+++ b/src/main/java/waytrestle/scheduler/ReadinessLeases.java
@@ -4,40 +4,66 @@
 import waytrestle.scheduler.SchedulerEvent.HealthCheckCompleted;
 
 /**
- * Whether new work may begin at an invoker while service discovery is out of reach. Guards against
- * work for invokers that drain unheard: past the drain grace a list that was not renewed counts for
- * nothing, and an invoker gets new work for a lease after a health check that passed.
+ * Decides whether new work may begin at an invoker while service discovery is unreachable, so that
+ * an invoker whose draining was not announced gets none. The endpoint list is valid for one lease,
+ * which is somewhat shorter than the drain grace, after it was last received. After that, an
+ * invoker gets new work only within one lease of sending a health check that it passed.
  *
- * <p>Only a health check renews a lease. A draining invoker fails it from the first moment, while
- * it still accepts requests and preloads for a time, so that these prove nothing. Checks are sent
- * where a request or a preload would go, and ahead for invokers in use, so that the requests bound
- * their number. Where settings allow no health checks, new work waits for discovery.
+ * <p>Only a health check renews a lease. A draining invoker fails health checks from the start, but
+ * still accepts requests and preloads for a while, so a response to one of these does not prove
+ * readiness. Checks are sent to invokers that a request or preload would go to, and to invokers in
+ * use before their lease expires, so the number of requests limits the number of checks. If the
+ * settings allow no health checks, new work waits for service discovery.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
  */
 final class ReadinessLeases {
-    private static final double LEASE_SHARE = 0.8; // of the drain grace: the rest is for the way
-    private static final double RENEWAL_SHARE = 0.5; // of a lease: then it is renewed ahead
-    private static final long SLOW_CHECK_MICROS = 40_000; // far above a usual round trip
-    private static final long RETRY_MICROS = 200_000; // after a check that failed; doubles in a row
-    private static final long MAX_RETRY_MICROS = 1_600_000; // a few checks of a usual drain
-    private static final int MAX_DOUBLINGS = 3; // by then the pause is at its longest
-    private static final int MAX_DEFERRED_PRELOADS = 2; // for each invoker, as may be in flight
-    private static final long SHORTEST_RESTART_MICROS = 3_000_000; // of a drain, an end and a start
+    /** Lease as a share of the drain grace; the rest is left for messages under way. */
+    private static final double LEASE_SHARE = 0.8;
+
+    /** Share of a lease that remains when it is first renewed ahead. */
+    private static final double RENEWAL_SHARE = 0.5;
+
+    /** Time after which a health check counts as slow; far above a usual round trip. */
+    private static final long SLOW_CHECK_MICROS = 40_000;
+
+    /** Pause after a failed health check; doubles with each further failure in a row. */
+    private static final long RETRY_MICROS = 200_000;
+
+    /** Longest pause after failed health checks; lets a few checks fall into a usual drain. */
+    private static final long MAX_RETRY_MICROS = 1_600_000;
+
+    /** Doublings after which the pause has reached its longest. */
+    private static final int MAX_DOUBLINGS = 3;
+
+    /** Deferred preloads of one invoker; as many may be in flight. */
+    private static final int MAX_DEFERRED_PRELOADS = 2;
+
+    /** Shortest time in which an invoker drains, ends and starts again. */
+    private static final long SHORTEST_RESTART_MICROS = 3_000_000;
 
     private final SchedulerState state;
+
+    /**
+     * When the endpoint list counts as last received, in microseconds; may lie ahead. {@link
+     * SchedulerEvent.ListFreshnessChanged#CURRENT} if the list does not become outdated.
+     */
     private long listReceivedAt = SchedulerEvent.ListFreshnessChanged.CURRENT;
+
+    /** Whether service discovery is delivering the missed changes of the endpoint list. */
     private boolean listCatchingUp;
 
     ReadinessLeases(SchedulerState state) {
         this.state = state;
     }
 
-    /** Discovery went out of reach or came back. */
+    /** Records how fresh the endpoint list is. */
     void freshnessChanged(SchedulerEvent.ListFreshnessChanged event) {
         listReceivedAt = event.receivedAtMicros();
         listCatchingUp = event.catchingUp();
     }
 
-    /** Whether the endpoint list may be acted on by itself. */
+    /** Returns whether the endpoint list is recent enough to send work without a lease. */
     boolean isListValid() {
         return isListValid(state.now);
     }
@@ -50,28 +76,35 @@
         return (long) (LEASE_SHARE * state.settings.rules().drainGraceMicros());
     }
 
-    /** Whether new work may begin at the invoker at that time, by the list or by its lease. */
+    /**
+     * Returns whether the endpoint list or the invoker's lease allows new work at the given time.
+     */
     boolean mayStartWork(InvokerState invoker, long nowMicros) {
         return isListValid(nowMicros) || nowMicros <= invoker.readinessLease.expiresAt;
     }
 
-    /** The same at the time of the event at hand. */
+    /** Returns whether the endpoint list or the invoker's lease allows new work now. */
     boolean mayStartWork(InvokerState invoker) {
         return mayStartWork(invoker, state.now);
     }
 
-    /** Whether the invoker is worth choosing: it may get new work, or may be asked soon. */
+    /**
+     * Returns whether a request may choose the invoker: it may get new work now, or a health check
+     * may be sent now or is in flight and not yet slow.
+     */
     boolean isCandidate(InvokerState invoker) {
         if (mayStartWork(invoker)) {
             return true;
         }
         ReadinessLease lease = invoker.readinessLease;
-        boolean slow = lease.isCheckInFlight() && state.now - lease.checkSentAt > SLOW_CHECK_MICROS;
-        return mayCheck() && state.now >= lease.nextCheckAt && !slow;
+        boolean checkIsSlow =
+                lease.isCheckInFlight() && state.now - lease.checkSentAt > SLOW_CHECK_MICROS;
+        return mayCheck() && state.now >= lease.nextCheckAt && !checkIsSlow;
     }
 
     /**
-     * Whether no invoker can be found ready before discovery is back, and that is not about to be.
+     * Returns whether no invoker can be found ready until service discovery is back, and its missed
+     * changes are not being delivered yet.
      */
     boolean isBlocked() {
         return !mayCheck() && !listCatchingUp && !isListValid();
@@ -81,13 +114,16 @@
         return state.settings.limits().mayCheckHealth();
     }
 
-    /** Routes the request anew once the invoker's health has been checked. */
+    /** Checks the invoker's health; the request is routed again when the check ends. */
     void routeAfterCheck(InvokerState invoker, RequestState request) {
         invoker.readinessLease.addWaitingRequest(request);
         check(invoker);
     }
 
-    /** Preloads the function once the invoker has passed a health check. */
+    /**
+     * Checks the invoker's health and defers a preload of the function until a check passes. Does
+     * nothing if the invoker is no candidate now.
+     */
     void deferPreload(InvokerState invoker, FunctionState function, int instances) {
         if (isCandidate(invoker)) {
             invoker.readinessLease.deferPreload(function, instances, MAX_DEFERRED_PRELOADS);
@@ -95,10 +131,13 @@
         }
     }
 
-    /** Renews the lease of an invoker in use before it expires. */
+    /**
+     * Checks the health of an invoker in use when less than the renewal share of its lease is left.
+     */
     void renewAhead(InvokerState invoker) {
-        long renewedAt = invoker.readinessLease.expiresAt - (long) (RENEWAL_SHARE * leaseMicros());
-        if (!isListValid() && state.now > renewedAt && mayCheck()) {
+        long renewalDueAt =
+                invoker.readinessLease.expiresAt - (long) (RENEWAL_SHARE * leaseMicros());
+        if (!isListValid() && state.now > renewalDueAt && mayCheck()) {
             check(invoker);
         }
     }
@@ -111,16 +150,16 @@
         }
     }
 
-    /** A health check has ended: a lease counts from when the check was sent. */
+    /** Records the end of a health check. A passed one gives a lease from when it was sent. */
     void checkCompleted(InvokerState invoker, HealthCheckCompleted event) {
         ReadinessLease lease = invoker.readinessLease;
         if (!lease.isCheckInFlight()) {
-            return; // of an earlier process under the same id
+            return; // sent to an earlier process under the invoker's id
         }
         long sentAt = lease.checkSentAt;
         lease.checkSentAt = 0;
         if (event.code() == ResponseCode.OK) {
-            noteProcess(invoker, event.connectedSinceMicros());
+            detectRestart(invoker, event.connectedSinceMicros());
             lease.consecutiveFailures = 0;
             lease.mayHaveEnded = false;
             lease.expiresAt = sentAt + leaseMicros();
@@ -133,22 +172,23 @@
         }
     }
 
-    /** The endpoint list says which process the invoker is. */
+    /** Records that the endpoint list has just named the process that the invoker runs in. */
     void recordListed(InvokerState invoker) {
         invoker.readinessLease.processConfirmedAt = state.now;
     }
 
     /**
-     * Guards an invoker that has started anew unheard against the load of one that is warm: where
-     * no connection has lasted since it was last known, and it refused a check or time enough for a
-     * restart has passed, it counts as just started.
+     * Treats the invoker as just started if it may have restarted unannounced, so that it is not
+     * sent the load of a warmed-up one. A restart is possible if no connection has lasted since the
+     * process was last confirmed, and either a health check was refused since or there was enough
+     * time for a restart.
      */
-    private void noteProcess(InvokerState invoker, long connectedSinceMicros) {
+    private void detectRestart(InvokerState invoker, long connectedSinceMicros) {
         ReadinessLease lease = invoker.readinessLease;
         long listedAt = Math.min(listReceivedAt, state.now);
-        long knownAt = Math.max(lease.processConfirmedAt, listedAt);
-        boolean timeEnough = state.now - knownAt > SHORTEST_RESTART_MICROS;
-        if ((timeEnough || lease.mayHaveEnded) && connectedSinceMicros > knownAt) {
+        long confirmedAt = Math.max(lease.processConfirmedAt, listedAt);
+        boolean enoughTimeToRestart = state.now - confirmedAt > SHORTEST_RESTART_MICROS;
+        if ((enoughTimeToRestart || lease.mayHaveEnded) && connectedSinceMicros > confirmedAt) {
             invoker.clearInstances();
             invoker.clearHealth();
             invoker.slowStartSince = state.now;
--- a/src/main/java/waytrestle/scheduler/RendezvousHash.java
+++ b/src/main/java/waytrestle/scheduler/RendezvousHash.java
@@ -1,8 +1,8 @@
 package waytrestle.scheduler;
 
 /**
- * Highest-random-weight hashing (Thaler and Ravishankar, 1996): controllers that share no state
- * rank the invokers of a function alike.
+ * Highest-random-weight hashing (Thaler and Ravishankar, 1996): ranks the invokers for a function
+ * by a hash of both names, so that controllers that share no state obtain equal rankings.
  */
 final class RendezvousHash {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
@@ -12,7 +12,7 @@
 
     private RendezvousHash() {}
 
-    /** The hash of a function's or invoker's name. */
+    /** Returns the hash of the name of a function or an invoker: FNV-1a, mixed once more. */
     static long hash(String name) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < name.length(); i++) {
@@ -21,7 +21,9 @@
         return hash ^ (hash >>> 29);
     }
 
-    /** The rank of an invoker for a function; never negative. */
+    /**
+     * Returns the rank of an invoker for a function; never negative, and the highest comes first.
+     */
     private static long rank(FunctionState function, InvokerState invoker) {
         long rank = (function.hash ^ invoker.hash) * FIRST_MULTIPLIER;
         rank ^= rank >>> 32;
@@ -29,7 +31,7 @@
         return (rank ^ (rank >>> 32)) >>> 1;
     }
 
-    /** Whether the first invoker ranks above the second for the function. */
+    /** Returns whether the first invoker ranks above the second for the function. */
     static boolean prefers(FunctionState function, InvokerState first, InvokerState second) {
         return rank(function, first) > rank(function, second);
     }
--- a/src/main/java/waytrestle/scheduler/RequestRouter.java
+++ b/src/main/java/waytrestle/scheduler/RequestRouter.java
@@ -9,18 +9,41 @@
 import waytrestle.scheduler.SchedulerTimer.QueuedRequestRetry;
 
 /**
- * Routes a request: to the invoker with the lowest estimated finish time, or to an early rejection.
- * A rejection for a load that outlasts the request preloads the function all the same, or a slow
- * function would be rejected for ever.
+ * Decides what becomes of a request: forwarded to the invoker with the lowest cost, queued,
+ * rejected early or failed. A request that is rejected because a load outlasts its time left still
+ * preloads its function; otherwise a function that loads slowly would be rejected forever.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
  */
 final class RequestRouter {
-    private static final double MIN_WEIGHT_SHARE = 0.6; // of the objective: a weightless one's wait
-    private static final double CONGESTION_RUNS = 2; // a longer finish is due to other requests
-    private static final double QUICK_RUN_SHARE = 0.3; // of a usual run: quicker requests need that
-    private static final double EXPLORATION_SHARE = 0.1; // of what a guess would reject: tried
-    private static final int MAX_NOT_LOADED = 2; // responses, after which a request waits for loads
-    private static final long RECHECK_MICROS = 40_000; // of queued requests: part of any objective
-    private static final long OUTAGE_RETRY_AFTER_MICROS = 1_000_000; // discovery reports as often
+    /**
+     * Share of the latency objective that a request without priority weight may take before it
+     * counts as congested; a request of the highest weight may take all of it.
+     */
+    private static final double MIN_WEIGHT_SHARE = 0.6;
+
+    /** Run times beyond which an estimated finish is due to other requests. */
+    private static final double CONGESTION_RUNS = 2;
+
+    /** Share of the usual run time that quicker requests need. */
+    private static final double QUICK_RUN_SHARE = 0.3;
+
+    /**
+     * Share of the requests, otherwise rejected for a load that may be unnecessary, that are
+     * forwarded to find out.
+     */
+    private static final double EXPLORATION_SHARE = 0.1;
+
+    /** Not-loaded responses after which a request waits for a load. */
+    private static final int MAX_NOT_LOADED = 2;
+
+    /** Time until a queued request is routed again; a small part of any latency objective. */
+    private static final long RECHECK_MICROS = 40_000;
+
+    /**
+     * Retry-After time while service discovery is unreachable; discovery reports about as often.
+     */
+    private static final long OUTAGE_RETRY_AFTER_MICROS = 1_000_000;
 
     private final SchedulerState state;
     private final FinishTimeEstimate estimate;
@@ -47,7 +70,10 @@
         this.retryRules = retryRules;
     }
 
-    /** The ordinary path: the lowest estimated finish, or an early rejection. */
+    /**
+     * Forwards the request to the invoker with the lowest cost, queues it, or ends it. Does nothing
+     * for a request that has its outcome, streams its response or has an attempt in flight.
+     */
     void route(RequestState request) {
         request.queued = false;
         if (request.completed || request.streaming || request.inFlight > 0) {
@@ -59,9 +85,10 @@
             return;
         }
         boolean awaitsLoad = request.notLoadedResponses >= MAX_NOT_LOADED;
-        boolean first = request.attempts.isEmpty();
-        double guess = first ? state.firstAttemptColdProbability : state.retryColdProbability;
-        estimate.coldProbability = awaitsLoad ? 1 : guess;
+        boolean firstAttempt = request.attempts.isEmpty();
+        double coldProbability =
+                firstAttempt ? state.firstAttemptColdProbability : state.retryColdProbability;
+        estimate.coldProbability = awaitsLoad ? 1 : coldProbability;
         InvokerState best = selector.lowestCostInvoker(request);
         if (best == null && leases.isBlocked()) {
             finish(request, OUTAGE_RETRY_AFTER_MICROS);
@@ -79,13 +106,13 @@
         } else if (awaitsLoad && mustWaitForLoad(request, best)) {
             request.waitedForLoad = true;
             preloads.preload(best, request.function, 1);
-            queue(request, RECHECK_MICROS); // a send at once could overtake the preload
+            queue(request, RECHECK_MICROS); // an attempt sent now could overtake the preload
         } else {
             forward(request, best);
         }
     }
 
-    /** Whether an invoker without the function says so at once and takes a preload instead. */
+    /** Returns whether invokers send not-loaded responses and accept preloads. */
     private boolean preloadsOnDemand() {
         return state.settings.preloading().reportsNotLoaded()
                 && state.settings.preloading().acceptsPreloads();
@@ -96,27 +123,32 @@
         return preloadsOnDemand() && (cold || !request.waitedForLoad);
     }
 
-    /** Whether even the best invoker would finish too late, or only make the next ones late. */
+    /**
+     * Returns whether even the best invoker would finish the request after its deadline, or so late
+     * that the requests after it would be late too.
+     */
     private boolean isHopeless(RequestState request, InvokerState best) {
         FunctionState function = request.function;
         double finish = estimate.finishMicros(function, best, false);
         state.estimateMicros = (long) finish;
         double soonest = finish - (1 - QUICK_RUN_SHARE) * estimate.runMicrosAt(function, best);
-        long left = request.deadline - state.now;
-        boolean unknown = request.attempts.isEmpty() && state.instanceAt(best, function) == null;
-        boolean guessed = preloadsOnDemand() && unknown;
-        boolean lateIfCold = soonest - estimate.loadMicrosAt(function, best, false) <= left;
-        boolean mayExplore = guessed && lateIfCold;
-        boolean late = soonest > left;
+        long timeLeft = request.deadline - state.now;
+        boolean noKnownInstance =
+                request.attempts.isEmpty() && state.instanceAt(best, function) == null;
+        boolean loadUncertain = preloadsOnDemand() && noKnownInstance;
+        boolean inTimeIfLoaded = soonest - estimate.loadMicrosAt(function, best, false) <= timeLeft;
+        boolean mayExplore = loadUncertain && inTimeIfLoaded;
+        boolean late = soonest > timeLeft;
         boolean tooLate = late && !(mayExplore && state.random.nextDouble() < EXPLORATION_SHARE);
         return tooLate || isCongested(request, best);
     }
 
     /**
-     * Guards against congestion, whatever caused it (burst, lost invokers, slow ones): when even
-     * the best invoker would answer past the objective because of its concurrent requests, serving
-     * late only makes the next late too. What has the least weight gives way first. It can hurt
-     * where congestion is about to pass.
+     * Returns whether the request should be rejected because of congestion, whatever its cause
+     * (burst, lost invokers, slow invokers): even the best invoker would respond after the latency
+     * objective because of its other requests, and serving the request late would make the next
+     * ones late too. Requests with the lowest priority weight are rejected first. Drawback: also
+     * rejects when the congestion is about to end.
      */
     private boolean isCongested(RequestState request, InvokerState best) {
         FunctionInstance instance = state.instanceAt(best, request.function);
@@ -124,16 +156,20 @@
             return false;
         }
         double finish = estimate.waitAndRunMicros(request.function, best);
-        double highest = state.settings.highestPriorityWeight();
-        boolean unweighted = instance == null || highest == 0;
-        double weight = unweighted ? 1 : request.requestClass.priorityWeight() / highest;
+        double highestWeight = state.settings.highestPriorityWeight();
+        boolean unweighted = instance == null || highestWeight == 0;
+        double weight = unweighted ? 1 : request.requestClass.priorityWeight() / highestWeight;
         double share = MIN_WEIGHT_SHARE + (1 - MIN_WEIGHT_SHARE) * weight;
-        double total = state.now - request.receivedAt + finish;
-        return total > share * request.requestClass.objectiveMicros()
+        double totalMicros = state.now - request.receivedAt + finish;
+        return totalMicros > share * request.requestClass.objectiveMicros()
                 && finish > CONGESTION_RUNS * estimate.runMicros(request.function);
     }
 
-    /** Preloads where the next requests would go; elsewhere if only some are congested. */
+    /**
+     * Preloads the function of a rejected request at the invoker that the next requests for it
+     * would be sent to: the best one if it is cold, otherwise a cold one that is not congested, if
+     * any.
+     */
     private void preloadForNextRequests(RequestState request, InvokerState best) {
         boolean cold = state.instanceAt(best, request.function) == null;
         InvokerState target = cold ? best : selector.uncongestedColdInvoker(request);
@@ -171,7 +207,9 @@
         state.endRequest(request);
     }
 
-    /** Ends a request that cannot be served: rejected where a retry is harmless, else failed. */
+    /**
+     * Ends a request that cannot be served: rejects it if a retry is harmless, otherwise fails it.
+     */
     void finish(RequestState request) {
         finish(request, 0);
     }
@@ -186,7 +224,11 @@
         }
     }
 
-    /** After an attempt that did not serve: the next best; if not loaded, a preload first. */
+    /**
+     * Routes a request again after an attempt that did not serve it. A not-loaded response may
+     * preload the function first; any other response excludes the invoker for the request. Ends the
+     * request if no time is left or the attempt was not sent.
+     */
     void retry(RequestState request, AttemptState attempt, ResponseCode code) {
         if (!code.provesNotRun() && !request.mayHaveRun) {
             request.bindTo(attempt);
--- a/src/main/java/waytrestle/scheduler/RequestState.java
+++ b/src/main/java/waytrestle/scheduler/RequestState.java
@@ -4,44 +4,56 @@
 import java.util.List;
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
-/** A request from its arrival until its outcome and the end of its last attempt. */
+/**
+ * What a scheduler knows about a request, from its arrival until it has its outcome and its last
+ * attempt has ended. Times are in microseconds on the scheduler's clock.
+ */
 final class RequestState {
     final long id;
     final long receivedAt;
     final long deadline;
     final RequestClass requestClass;
 
-    /** One number for class and tenant: some invokers fail only one of these. */
+    /**
+     * Number of the request's class and tenant together. Failures are counted by it, because some
+     * invokers fail only one class or tenant.
+     */
     final int failureScope;
 
     final FunctionState function;
     final List<AttemptState> attempts = new ArrayList<>();
 
-    /** Invokers that failed it and are not tried again for now. */
+    /** Invokers that failed the request and are not tried again for now. */
     final List<InvokerState> excludedInvokers = new ArrayList<>();
 
+    /** Attempts in flight. */
     int inFlight;
 
-    /** Whether a completed attempt is not proved never to have run. */
+    /** Whether an attempt of the request ended without proof that it never ran. */
     boolean mayHaveRun;
 
-    /** Where the first such attempt went, and when. */
+    /**
+     * Invoker of the first attempt that may have run; null before it. Deduplication binds the
+     * retries of a request with an idempotency key to the scope of this invoker.
+     */
     InvokerState boundInvoker;
 
+    /** When the first attempt that may have run was sent; its deduplication window starts then. */
     long boundAt;
 
+    /** Whether a part of the response has been passed to the client. */
     boolean streaming;
 
-    /** Whether it waits for a timer to be routed again. */
+    /** Whether the request waits to be routed again by a timer or after a health check. */
     boolean queued;
 
-    /** Whether it has been queued once for a load. */
+    /** Whether the request has been queued once to wait for a load. */
     boolean waitedForLoad;
 
-    /** Whether it has its outcome. */
+    /** Whether the request has its outcome. */
     boolean completed;
 
-    /** Responses that the function was not loaded. */
+    /** Number of not-loaded responses. */
     int notLoadedResponses;
 
     RequestState(
@@ -59,27 +71,27 @@
         this.deadline = nowMicros + timeLeftMicros;
     }
 
-    /** Counts an attempt as in flight. */
+    /** Adds an attempt and counts it as in flight. */
     void startAttempt(AttemptState attempt) {
         attempt.start();
         inFlight++;
         attempts.add(attempt);
     }
 
-    /** Counts it as in flight no longer. */
+    /** Marks an attempt as ended and no longer counts it as in flight. */
     void completeAttempt(AttemptState attempt) {
         attempt.complete();
         inFlight--;
     }
 
-    /** From now on the request counts as having run where this attempt went. */
+    /** Records that the attempt may have run the request. */
     void bindTo(AttemptState attempt) {
         mayHaveRun = true;
         boundInvoker = attempt.invoker;
         boundAt = attempt.sentAt;
     }
 
-    /** Whether a decision on it is still to come. */
+    /** Returns whether the request has neither an outcome nor a streamed response. */
     boolean isUndecided() {
         return !streaming && !completed;
     }
--- a/src/main/java/waytrestle/scheduler/ResponseCode.java
+++ b/src/main/java/waytrestle/scheduler/ResponseCode.java
@@ -4,31 +4,31 @@
 public enum ResponseCode {
     /** The function ran and answered. */
     OK,
-    /** It failed; it may have run. */
+    /** The invoker or the function failed; the request may have run. */
     ERROR,
-    /** The invoker had no capacity; it never ran. */
+    /** The invoker had no capacity; the request never ran. */
     FULL,
-    /** Nothing came within the time given. */
+    /** No response arrived within the timeout; the request may have run. */
     TIMEOUT,
-    /** No connection could be made; it never ran. */
+    /** No connection could be made; the request never ran. */
     CONNECT_FAILED,
-    /** The connection broke after the request was sent. */
+    /** The connection broke after the request was sent; the request may have run. */
     RESET,
-    /** Cancelled by this controller. */
+    /** This controller cancelled it; the request may have run. */
     CANCELLED,
-    /** It was never sent, or arrived after its deadline; it never ran. */
+    /** The request was never sent, or reached the invoker after its deadline; it never ran. */
     NOT_SENT,
-    /** The invoker has no instance of the function; it never ran. */
+    /** The invoker has no instance of the function; the request never ran. */
     NOT_LOADED,
-    /** The function answered with an error of its own. */
+    /** The function ran and answered with an error of its own. */
     REJECTED;
 
-    /** Whether it proves that the attempt never ran. */
+    /** Returns whether the code proves that the request never ran. */
     public boolean provesNotRun() {
         return this == FULL || this == CONNECT_FAILED || this == NOT_SENT || this == NOT_LOADED;
     }
 
-    /** Whether the invoker itself answered, whatever it said. */
+    /** Returns whether the invoker itself responded, successfully or not. */
     public boolean isInvokerResponse() {
         return this == OK
                 || this == ERROR
--- a/src/main/java/waytrestle/scheduler/RetryRules.java
+++ b/src/main/java/waytrestle/scheduler/RetryRules.java
@@ -2,7 +2,10 @@
 
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
-/** Whether a request may be sent again or rejected, by its idempotency and what may have run. */
+/**
+ * Decides whether a request may be sent again or rejected, by its idempotency and by whether an
+ * attempt may have run.
+ */
 final class RetryRules {
     private final SchedulerState state;
 
@@ -10,17 +13,20 @@
         this.state = state;
     }
 
-    /** Whether another attempt may be sent at all. */
+    /** Returns whether another attempt of the request may be sent to any invoker now. */
     boolean mayRetry(RequestState request) {
-        RequestClass kind = request.requestClass;
-        long deduplicatedUntil = request.boundAt + kind.deduplicationWindowMicros();
+        RequestClass requestClass = request.requestClass;
+        long deduplicationEnd = request.boundAt + requestClass.deduplicationWindowMicros();
         return !request.mayHaveRun
-                || kind.idempotency() == Idempotency.IDEMPOTENT
-                || (kind.idempotency() == Idempotency.KEYED
-                        && state.now <= deduplicatedUntil - state.settings.tickMicros());
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.KEYED
+                        && state.now <= deduplicationEnd - state.settings.tickMicros());
     }
 
-    /** Whether an attempt at the invoker would be dropped there as a duplicate, if it is one. */
+    /**
+     * Returns whether the invoker would drop another attempt of the request as a duplicate if an
+     * earlier attempt ran, or needs not to.
+     */
     boolean mayRetryAt(RequestState request, InvokerState invoker) {
         if (!request.mayHaveRun || request.requestClass.idempotency() != Idempotency.KEYED) {
             return true;
@@ -34,12 +40,12 @@
         };
     }
 
-    /** Whether the client may be told that a retry is harmless. */
+    /** Returns whether the client may be told that a retry of the request is harmless. */
     boolean mayReject(RequestState request) {
-        RequestClass kind = request.requestClass;
+        RequestClass requestClass = request.requestClass;
         return (!request.mayHaveRun && request.inFlight == 0)
-                || kind.idempotency() == Idempotency.IDEMPOTENT
-                || (kind.idempotency() == Idempotency.KEYED
-                        && kind.deduplicationScope() == DeduplicationScope.ALL);
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.KEYED
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 }
--- a/src/main/java/waytrestle/scheduler/SchedulerCommand.java
+++ b/src/main/java/waytrestle/scheduler/SchedulerCommand.java
@@ -1,11 +1,11 @@
 package waytrestle.scheduler;
 
-/** What a scheduler tells its controller to do. */
+/** A command of a scheduler to its controller. Times are in microseconds. */
 public sealed interface SchedulerCommand {
-    /** The peer of a message to every other controller. */
+    /** Value of {@link SendGossip#peer} that stands for all other controllers. */
     int ALL_PEERS = -1;
 
-    /** Takes the commands of one event in order. */
+    /** Receives the commands of one event in order. */
     interface Sink {
         /** Adds the next command. */
         void add(SchedulerCommand command);
@@ -14,29 +14,35 @@
     /**
      * Send an attempt of the request to the invoker.
      *
-     * @param giveUpAtMicros when to give the attempt up; 0 leaves it until the request's deadline
+     * @param id id of the request
+     * @param giveUpAtMicros when to give the attempt up, on the scheduler's clock; 0 for the
+     *     request's deadline
      */
     record ForwardAttempt(long id, String invoker, long giveUpAtMicros)
             implements SchedulerCommand {}
 
-    /** Reject the request: a retry is harmless, after this time if it is positive. */
+    /**
+     * Reject the request: a retry is harmless.
+     *
+     * @param retryAfterMicros time after which the client should retry; 0 to state none
+     */
     record RejectRequest(long id, long retryAfterMicros) implements SchedulerCommand {}
 
-    /** Fail the request: it may have run. */
+    /** Fail the request, which may have run. */
     record FailRequest(long id) implements SchedulerCommand {}
 
-    /** Cancel an attempt that is in flight. */
+    /** Cancel an attempt in flight; attempts of a request are numbered from 0. */
     record CancelAttempt(long id, int attempt) implements SchedulerCommand {}
 
     /**
-     * Hold at least so many loaded instances of the function.
+     * Ask the invoker to hold loaded instances of the function.
      *
-     * @param instances 0 only asks how many are loaded
+     * @param instances least number of loaded instances; 0 only asks how many are loaded
      */
     record PreloadFunction(String invoker, String function, int instances)
             implements SchedulerCommand {}
 
-    /** Unload the idle instances of the function. */
+    /** Ask the invoker to unload the idle instances of the function. */
     record UnloadFunction(String invoker, String function) implements SchedulerCommand {}
 
     /** Check the health of an invoker. */
@@ -48,7 +54,7 @@
     /** Send a message to another controller, or to {@link #ALL_PEERS}. */
     record SendGossip(int peer, byte[] message) implements SchedulerCommand {}
 
-    /** Subscribe to endpoint updates, or end the subscription. */
+    /** Subscribe to updates of the endpoint list, or end the subscription. */
     record SubscribeToEndpoints(boolean enabled) implements SchedulerCommand {}
 
     /** Fetch the endpoint list once. */
--- a/src/main/java/waytrestle/scheduler/SchedulerEvent.java
+++ b/src/main/java/waytrestle/scheduler/SchedulerEvent.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** What happens to a controller, as its scheduler is told. Times are in microseconds. */
+/** An event at a controller that its scheduler is told of. Times are in microseconds. */
 public sealed interface SchedulerEvent {
-    /** A number of concurrent requests that the invoker did not report. */
+    /** Value of {@link AttemptCompleted#concurrentRequests} if the invoker did not report it. */
     int CONCURRENCY_NOT_REPORTED = -1;
 
-    /** The tenant of a request where the settings know none. */
+    /** Value of {@link RequestReceived#tenant} if the settings name no such tenant. */
     int NO_TENANT = -1;
 
     /**
-     * The endpoint list, complete or changes only.
+     * The endpoint list arrived, complete or only its changes.
      *
-     * @param snapshot whether the entries are all there are; otherwise only those that changed
-     * @param cached whether the list may be out of date
+     * @param snapshot whether the entries are the complete list; otherwise only the changed ones
+     * @param cached whether the list may be outdated
      */
     record EndpointsUpdated(boolean snapshot, boolean cached, List<InvokerEndpoint> entries)
             implements SchedulerEvent {}
@@ -24,12 +24,17 @@
     record EndpointUpdateFailed() implements SchedulerEvent {}
 
     /**
-     * A new request. Work, memory, concurrency and load time are zero or negative where they are
-     * not known.
+     * A request arrived. Work, memory, concurrency and load time are zero or negative if unknown.
      *
      * @param requestClass index of its class in the settings
      * @param tenant index of its tenant, or {@link #NO_TENANT}
+     * @param function id of the function
+     * @param timeLeftMicros time until the request's deadline
+     * @param workMicros expected run time
      * @param concurrencyPerInstance requests that one instance of the function runs at a time
+     * @param loadMicros expected load time of the function
+     * @param retry whether the client has sent the request before
+     * @param write whether the request changes data
      */
     record RequestReceived(
             long id,
@@ -48,10 +53,11 @@
     /**
      * An attempt ended.
      *
-     * @param isFinal whether nothing more is owed for the request
+     * @param attempt number of the attempt among those of the request, from 0
+     * @param isFinal whether the request needs no further decision
      * @param concurrentRequests requests for the function at the invoker, or {@link
      *     #CONCURRENCY_NOT_REPORTED}
-     * @param loadReport metrics by name, empty where none were reported
+     * @param loadReport load metrics by name; empty if none were reported
      */
     record AttemptCompleted(
             long id,
@@ -70,23 +76,24 @@
             implements SchedulerEvent {}
 
     /**
-     * Service discovery was heard from, went out of reach or came back.
+     * Service discovery reported, became unreachable or became reachable again.
      *
-     * @param receivedAtMicros from when on all that discovery holds counts as received here, unless
-     *     it is heard from again; {@link #CURRENT} where that is not limited
-     * @param catchingUp whether what is missing is being delivered
+     * @param receivedAtMicros when the endpoint list counts as last received unless service
+     *     discovery reports again, on the scheduler's clock; may lie ahead; {@link #CURRENT} if the
+     *     list does not become outdated
+     * @param catchingUp whether the missed changes are being delivered
      */
     record ListFreshnessChanged(long receivedAtMicros, boolean catchingUp)
             implements SchedulerEvent {
-        /** In place of a time: the endpoint list is current. */
+        /** Value of {@link #receivedAtMicros} if the endpoint list does not become outdated. */
         public static final long CURRENT = Long.MAX_VALUE;
     }
 
     /**
      * A health check ended.
      *
-     * @param connectedSinceMicros since when there has always been a connection to the invoker; 0
-     *     where that is not known
+     * @param connectedSinceMicros time since which there has always been a connection to the
+     *     invoker, on the scheduler's clock; 0 if unknown
      */
     record HealthCheckCompleted(
             String invoker,
@@ -99,13 +106,13 @@
     /**
      * A preload request ended.
      *
-     * @param instances loaded instances of the function that the invoker reports
+     * @param instances number of loaded instances of the function that the invoker reports
      */
     record PreloadCompleted(
             String invoker, String function, ResponseCode code, long elapsedMicros, int instances)
             implements SchedulerEvent {}
 
-    /** Nobody waits for the request any more. */
+    /** The client no longer waits for the response to the request. */
     record RequestAbandoned(long id) implements SchedulerEvent {}
 
     /** A timer set by the scheduler expired. */
--- a/src/main/java/waytrestle/scheduler/SchedulerState.java
+++ b/src/main/java/waytrestle/scheduler/SchedulerState.java
@@ -9,59 +9,71 @@
 import waytrestle.stats.DecayingSum;
 
 /**
- * All that one scheduler remembers, shared by its parts; it decides nothing. Bounded by the
- * endpoint list, by the requests in flight and by the expiry of unused functions.
+ * The state of one scheduler, shared by its parts. Its size is bounded by the endpoint list, the
+ * requests in flight and the expiry of unused functions. Times are in microseconds on the
+ * scheduler's clock.
  *
- * <p>Not thread-safe: used by one event loop.
+ * <p>Not thread-safe: used only by the controller's event loop.
  */
 final class SchedulerState {
     final SchedulerSettings settings;
     final SplittableRandom random;
 
-    /** Time of the event at hand, in microseconds. */
+    /** Time of the event being handled. */
     long now;
 
-    /** Commands of the event at hand. */
+    /** Receives the commands of the event being handled. */
     SchedulerCommand.Sink commands;
 
-    /** Estimate behind the last attempt or rejection. */
+    /**
+     * Estimated time until the request would finish, by which the event being handled forwarded or
+     * rejected it; {@link RequestScheduler#NO_ESTIMATE} if there is none.
+     */
     long estimateMicros = RequestScheduler.NO_ESTIMATE;
 
+    /** Invokers by id, in the order in which they were first listed. */
     final Map<String, InvokerState> invokers = new LinkedHashMap<>();
+
+    /** Functions by id, in the order of their first requests. */
     final Map<String, FunctionState> functions = new LinkedHashMap<>();
+
+    /** Requests by id that lack their outcome or have attempts in flight. */
     final Map<Long, RequestState> requests = new HashMap<>();
 
-    /** Times of requests and preloads within the period of the preload limit. */
+    /** Arrival times of the requests in the last period of the preload limit, oldest first. */
     final ArrayDeque<Long> requestTimes = new ArrayDeque<>();
 
+    /** Send times of the preloads in the last period of the preload limit, oldest first. */
     final ArrayDeque<Long> preloadTimes = new ArrayDeque<>();
 
-    /** All requests within about one keep-alive. */
+    /** Requests for all functions; each weighs 1/e after one keep-alive. */
     final DecayingSum recentRequests;
 
-    /** Warm responses and ready invokers, by kind of invoker. */
+    /** Requests served by invokers, by index of the invokers' kind; decays over time. */
     final Map<Integer, DecayingSum> servedRequestsByKind = new HashMap<>();
 
+    /** Ready invokers, by index of their kind. */
     final Map<Integer, DecayingAverage> readyInvokersByKind = new HashMap<>();
 
-    /** Averages over the load reports of all invokers. */
+    /** Average of {@link InvokerState#otherRequests} over the load reports of all invokers. */
     double averageOtherRequests;
 
+    /** Average of {@link InvokerState#queuedRequests} over the load reports of all invokers. */
     double averageQueuedRequests;
 
-    /** Usual time of a warm response of any function, in microseconds; 0 before the first. */
+    /** Average usual run time of the functions served; 0 before the first response. */
     double averageRunMicros;
 
-    /** Usual time of a load, in microseconds; 0 before the first. */
+    /** Average load time of all functions; 0 before the first load. */
     double averageLoadMicros;
 
-    /** Share of all attempts whose connection broke. */
+    /** Share of all attempts whose connection was reset; the past loses weight. */
     double resetShare;
 
-    /** Probability that an invoker without a known instance has none, at the first attempt. */
+    /** Probability that an invoker without a known instance holds none, at a first attempt. */
     double firstAttemptColdProbability = 0.5;
 
-    /** The same at a retry. */
+    /** Probability that an invoker without a known instance holds none, at a retry. */
     double retryColdProbability = 0.5;
 
     SchedulerState(SchedulerSettings settings, long seed) {
@@ -70,44 +82,44 @@
         this.recentRequests = new DecayingSum(keepAliveMicros());
     }
 
-    /** Time after its last use in which an instance stays loaded; at least 1. */
+    /** Returns the time after its last use in which an instance stays loaded; at least 1. */
     long keepAliveMicros() {
         return Math.max(1, settings.preloading().keepAliveMicros());
     }
 
-    /** The instance of a function believed to be at an invoker, or null. */
+    /** Returns what is believed about the function's instances at the invoker; null if none. */
     FunctionInstance instanceAt(InvokerState invoker, FunctionState function) {
         FunctionInstance instance = invoker.instances.get(function.id);
         return instance != null && isExpired(instance) ? null : instance;
     }
 
-    /** Whether its keep-alive has passed since the last use. */
+    /** Returns whether an idle instance was last used longer ago than its keep-alive. */
     boolean isExpired(FunctionInstance instance) {
         return instance.inFlight == 0
                 && !instance.isLoading()
                 && now - instance.lastUsedAt > keepAliveMicros();
     }
 
-    /** Warm responses of invokers of the same kind. */
+    /** Returns the requests served by all invokers of the invoker's kind. */
     DecayingSum servedRequestsOf(InvokerState invoker, double decayMicros) {
         return servedRequestsByKind.computeIfAbsent(
                 invoker.endpoint.kind(), kind -> new DecayingSum(decayMicros));
     }
 
-    /** Share of an invoker's attempts that failed, of requests of the scope. */
-    DecayingSum failureShareOf(InvokerState invoker, int scope) {
+    /** Returns the share of failed attempts at an invoker among requests of a failure scope. */
+    DecayingSum failureShareOf(InvokerState invoker, int failureScope) {
         return invoker.failureShare.computeIfAbsent(
-                scope, absent -> new DecayingSum(keepAliveMicros()));
+                failureScope, absent -> new DecayingSum(keepAliveMicros()));
     }
 
-    /** The function of a request, remembered from now on. */
+    /** Returns the function of a request, and adds the function if it is new. */
     private FunctionState functionOf(SchedulerEvent.RequestReceived request) {
         return functions.computeIfAbsent(
                 request.function(),
                 id -> new FunctionState(id, random.nextDouble(), keepAliveMicros()));
     }
 
-    /** Remembers a new request and its function. */
+    /** Adds a new request, counts it for its function, and returns it. */
     RequestState addRequest(SchedulerEvent.RequestReceived event) {
         FunctionState function = functionOf(event);
         function.recordRequest(event, now);
@@ -126,14 +138,17 @@
         return request;
     }
 
-    /** Ends a request: attempts in flight are cancelled where allowed; their ends find it here. */
+    /**
+     * Ends a request. Cancels its attempts in flight where the settings allow it; the request is
+     * kept until they have ended. Does nothing if the request is null or has ended.
+     */
     void endRequest(RequestState request) {
         if (request == null || request.completed) {
             return;
         }
         request.completed = true;
-        boolean cancels = settings.limits().mayCancel() && !request.streaming;
-        for (int i = 0; cancels && i < request.attempts.size(); i++) {
+        boolean cancelsAttempts = settings.limits().mayCancel() && !request.streaming;
+        for (int i = 0; cancelsAttempts && i < request.attempts.size(); i++) {
             if (!request.attempts.get(i).completed) {
                 commands.add(new SchedulerCommand.CancelAttempt(request.id, i));
             }
@@ -143,7 +158,7 @@
         }
     }
 
-    /** Drops times that lie further back than the span. */
+    /** Removes the times that lie further back than the span; the oldest time must come first. */
     void dropOlderThan(ArrayDeque<Long> times, long spanMicros) {
         while (!times.isEmpty() && times.peekFirst() < now - spanMicros) {
             times.removeFirst();
--- a/src/main/java/waytrestle/scheduler/SchedulerTimer.java
+++ b/src/main/java/waytrestle/scheduler/SchedulerTimer.java
@@ -1,16 +1,16 @@
 package waytrestle.scheduler;
 
-/** What a timer of the scheduler is for; it comes back as it was set when the timer expires. */
+/** The purpose of a timer, returned unchanged to the scheduler when the timer expires. */
 public sealed interface SchedulerTimer {
-    /** The time of a request is nearly up. */
+    /** A request is one clock tick before its deadline. */
     record RequestDeadline(long requestId) implements SchedulerTimer {}
 
     /** A queued request is to be routed again. */
     record QueuedRequestRetry(long requestId) implements SchedulerTimer {}
 
-    /** The periodic maintenance of all state is due. */
+    /** The periodic maintenance of the scheduler's state is due. */
     record Maintenance() implements SchedulerTimer {}
 
-    /** The subscription to endpoint updates is to be renewed after a failure. */
+    /** The subscription to the endpoint list is to be renewed after a failed update. */
     record EndpointResubscription() implements SchedulerTimer {}
 }
--- a/src/main/java/waytrestle/scheduler/SlowStartBudget.java
+++ b/src/main/java/waytrestle/scheduler/SlowStartBudget.java
@@ -5,22 +5,34 @@
 import waytrestle.stats.DecayingSum;
 
 /**
- * Limits what a just started invoker is sent. Guards it against all controllers together, each
- * keeping its share alone: own sends within the stated window stay under the stated multiple of
- * what this controller sees an invoker of the kind serve, times the share warmed up so far. Sends
- * count by their size, since functions differ. A share below one send opens only some windows, by
- * the seed: hundreds of controllers then meet the budget on average. It can hurt: fresh invokers
- * fill slowly.
+ * Limits the requests that an invoker is sent during its slow start, so that all controllers
+ * together do not overload it although each knows only its own requests. The requests of this
+ * controller within the overload window stay below this product: the overload multiple of the
+ * settings, times the requests that an invoker of the kind usually serves for this controller
+ * within the window, times the share of its capacity that the invoker may be sent so far.
+ *
+ * <p>A request counts by the run time of its function. A budget below one request is rounded at
+ * random for each window: hundreds of controllers then keep the budget on average. Drawback:
+ * invokers that have just started fill slowly.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
  */
 final class SlowStartBudget {
-    private static final double MARGIN = 0.7; // of the budget: chance and others need the rest
-    private static final double DEVIATIONS = 1.3; // of all controllers' sends: few vary more
-    private static final double SMALL_BUDGET_DISCOUNT = 0.3; // of the margin, below one send
+    /** Share of the budget that is used; the rest is left for chance and other controllers. */
+    private static final double MARGIN = 0.7;
+
+    /** Standard deviations of all controllers' sends that the margin leaves room for. */
+    private static final double DEVIATIONS = 1.3;
+
+    /** Discount on the margin as the budget falls from one request to 0. */
+    private static final double SMALL_BUDGET_DISCOUNT = 0.3;
 
     private final SchedulerState state;
     private final FinishTimeEstimate estimate;
     private final Rules rules;
-    private final long windowPhase; // micros by which this controller's windows are shifted
+
+    /** Random time, in microseconds, by which this controller's windows are shifted. */
+    private final long windowPhase;
 
     SlowStartBudget(SchedulerState state, FinishTimeEstimate estimate) {
         this.state = state;
@@ -29,50 +41,57 @@
         this.windowPhase = state.random.nextLong(1 + rules.overloadWindowMicros());
     }
 
-    private boolean isWarming(InvokerState invoker) {
+    private boolean isInSlowStart(InvokerState invoker) {
         return invoker.slowStartSince > 0
                 && state.now - invoker.slowStartSince < rules.slowStartMicros();
     }
 
-    /** Counts a send to an invoker that is warming up. */
+    /** Counts an attempt if the invoker is in its slow start. */
     void recordSend(FunctionState function, InvokerState invoker) {
-        if (isWarming(invoker)) {
+        if (isInSlowStart(invoker)) {
             double size = relativeSize(function);
             invoker.slowStartSends.add(new InvokerState.SlowStartSend(state.now, size));
             invoker.slowStartSizeSum += size;
         }
     }
 
-    /** Whether one more request of the function may be sent to the invoker now. */
+    /** Returns whether one more request for the function may be sent to the invoker now. */
     boolean admits(InvokerState invoker, FunctionState function) {
-        if (!isWarming(invoker)) {
+        if (!isInSlowStart(invoker)) {
             return true;
         }
         invoker.dropSlowStartSends(state.now - rules.overloadWindowMicros());
         double size = relativeSize(function);
-        double budget = rules.overloadMultiple() * warmShare(invoker) * usualSends(invoker) / size;
+        double budget =
+                rules.overloadMultiple() * slowStartShare(invoker) * usualSends(invoker) / size;
         int controllers = state.settings.controllerCount();
         double deviation = Math.sqrt(Math.max(1, budget * controllers));
         double discount = SMALL_BUDGET_DISCOUNT * Math.max(0, 1 - budget);
         double margin = Math.min(MARGIN, 1 - DEVIATIONS / deviation) - discount;
-        double allowed = Math.max(1.0 / controllers, margin * budget) + windowDraw(invoker);
+        double allowed = Math.max(1.0 / controllers, margin * budget) + budgetRounding(invoker);
         return invoker.slowStartSizeSum / size + 1 <= allowed;
     }
 
-    /** Requests that one of a slow function counts for; a quick one counts whole. */
+    /**
+     * Returns the number of average requests that a request for the function counts for; at least
+     * 1.
+     */
     private double relativeSize(FunctionState function) {
         double average = state.averageRunMicros;
         return average == 0 ? 1 : Math.max(1, estimate.runMicros(function) / average);
     }
 
-    /** The share of its capacity that the settings allow the invoker by now. */
-    private double warmShare(InvokerState invoker) {
+    /** Returns the share of its capacity that the invoker may be sent so far in its slow start. */
+    private double slowStartShare(InvokerState invoker) {
         long age = Math.max(0, state.now - invoker.slowStartSince);
         double initial = rules.slowStartInitialShare();
         return initial + (1 - initial) * (age / (double) rules.slowStartMicros());
     }
 
-    /** Responses that this controller gets from one invoker of the kind within the window. */
+    /**
+     * Returns the number of requests that one invoker of the kind usually serves for this
+     * controller within the overload window.
+     */
     private double usualSends(InvokerState invoker) {
         DecayingSum served = state.servedRequestsByKind.get(invoker.endpoint.kind());
         if (served == null) {
@@ -80,12 +99,19 @@
         }
         DecayingAverage ready = state.readyInvokersByKind.get(invoker.endpoint.kind());
         double rate = served.value(state.now) / FinishTimeEstimate.RATE_DECAY_MICROS;
-        double alike = ready == null ? 1 : Math.max(1, ready.max(state.now)); // more during a roll
-        return rate * rules.overloadWindowMicros() / alike;
+        double readyInvokers =
+                ready == null
+                        ? 1
+                        : Math.max(
+                                1,
+                                ready.max(
+                                        state.now)); // average exceeds the count during a rolling
+                                                     // restart
+        return rate * rules.overloadWindowMicros() / readyInvokers;
     }
 
-    /** One random number per invoker and window, which rounds the share of this controller. */
-    private double windowDraw(InvokerState invoker) {
+    /** Returns a random number from 0 to 1, one per invoker and window, that rounds its budget. */
+    private double budgetRounding(InvokerState invoker) {
         long window = (state.now + windowPhase) / Math.max(1, rules.overloadWindowMicros());
         if (invoker.budgetRoundingWindow != window) {
             invoker.budgetRoundingWindow = window;
--- a/src/main/java/waytrestle/scheduler/StartKind.java
+++ b/src/main/java/waytrestle/scheduler/StartKind.java
@@ -1,15 +1,18 @@
 package waytrestle.scheduler;
 
-/** What a response says of the instance that it used. The order is part of the protocols. */
+/**
+ * Whether an attempt met a loaded instance, as the response states. The order of the constants is
+ * part of the protocols.
+ */
 public enum StartKind {
-    /** Not reported. */
+    /** The response did not state it. */
     UNKNOWN,
-    /** The instance stood loaded. */
+    /** The instance was loaded before the request. */
     WARM,
     /** The request began a load and waited for it. */
     COLD,
     /** The request waited for a load that had begun before. */
     JOINED,
-    /** The load failed; comes with a not-loaded response or an error. */
+    /** The load failed; sent with a not-loaded response or an error. */
     LOAD_FAILED
 }
--- a/src/main/java/waytrestle/scheduler/StateMaintenance.java
+++ b/src/main/java/waytrestle/scheduler/StateMaintenance.java
@@ -2,14 +2,32 @@
 
 import waytrestle.scheduler.SchedulerCommand.SetTimer;
 
-/** Forgets what is unused, looks for silent invokers and renews instances worth keeping alive. */
+/**
+ * Periodic maintenance: removes unused state, looks for silent invokers, and preloads functions in
+ * use again before their keep-alive expires.
+ *
+ * <p>Not thread-safe: called from the controller's event loop.
+ */
 final class StateMaintenance {
-    private static final long INTERVAL_MICROS = 250_000; // fine against keep-alives
-    private static final int POLL_DIVISOR = 8; // of the interval: pause of a failed subscription
-    private static final double RENEWAL_AGE = 0.7; // keep-alives: time is left for lost preloads
-    private static final double RENEWAL_IDLE = 2.5; // keep-alives without a request: then let go
-    private static final double EXPIRY = 10; // keep-alives: a function's times are forgotten too
-    private static final int RENEWAL_REQUESTS = 2; // worth keeping from there on
+    /** Time between two runs; short compared with keep-alives. */
+    private static final long INTERVAL_MICROS = 250_000;
+
+    /** Divisor of the poll interval: the quotient is the pause after a failed subscription. */
+    private static final int POLL_DIVISOR = 8;
+
+    /**
+     * Keep-alives since its last use after which an instance is renewed; the rest allows retries.
+     */
+    private static final double RENEWAL_AGE_KEEP_ALIVES = 0.7;
+
+    /** Keep-alives without a request after which a function's instance is no longer renewed. */
+    private static final double RENEWAL_IDLE_KEEP_ALIVES = 2.5;
+
+    /** Keep-alives without a request after which a function and its run times are forgotten. */
+    private static final double EXPIRY_KEEP_ALIVES = 10;
+
+    /** Requests for a function from which on its instance is renewed. */
+    private static final int RENEWAL_REQUESTS = 2;
 
     private final SchedulerState state;
     private final InvokerBackoff backoff;
@@ -21,27 +39,29 @@
         this.preloads = preloads;
     }
 
-    /** Sets the first timer, at random so that controllers differ. */
+    /** Sets the timer of the first run, after a random delay so that controllers run apart. */
     void start() {
         long delay = 1 + state.random.nextLong(INTERVAL_MICROS);
         state.commands.add(new SetTimer(delay, new SchedulerTimer.Maintenance()));
     }
 
-    /** Sets the timer that renews a subscription to endpoints. */
+    /** Sets the timer that renews the subscription to the endpoint list after a failed update. */
     void scheduleResubscription() {
         long pause = state.settings.rules().pollIntervalMicros() / POLL_DIVISOR;
         long delay = Math.max(INTERVAL_MICROS, pause);
         state.commands.add(new SetTimer(delay, new SchedulerTimer.EndpointResubscription()));
     }
 
-    /** One round; sets the timer of the next. */
+    /** Runs the maintenance once, and sets the timer of the next run. */
     void run() {
         state.commands.add(new SetTimer(INTERVAL_MICROS, new SchedulerTimer.Maintenance()));
         state.dropOlderThan(
                 state.requestTimes, Math.max(1, state.settings.preloading().preloadPeriodMicros()));
         state.invokers.values().removeIf(invoker -> !invoker.ready && invoker.inFlight == 0);
-        double expiry = EXPIRY * state.keepAliveMicros();
-        state.functions.values().removeIf(each -> state.now - each.lastRequestAt > expiry);
+        double expiryMicros = EXPIRY_KEEP_ALIVES * state.keepAliveMicros();
+        state.functions
+                .values()
+                .removeIf(function -> state.now - function.lastRequestAt > expiryMicros);
         for (InvokerState invoker : state.invokers.values()) {
             backoff.checkSilence(invoker);
             invoker.instances.values().removeIf(state::isExpired);
@@ -52,16 +72,22 @@
         state.functions.values().forEach(this::renewKeepAlive);
     }
 
-    /** Notes whether the invoker is the best-ranked one that holds the function. */
+    /**
+     * Makes the invoker the function's keep-alive invoker if it is usable and ranks above the one
+     * considered before.
+     */
     private void considerForKeepAlive(FunctionState function, InvokerState invoker) {
-        InvokerState known = function.keepAliveInvoker;
+        InvokerState previous = function.keepAliveInvoker;
         boolean usable = invoker.ready && !backoff.isPaused(invoker);
-        if (usable && (known == null || RendezvousHash.prefers(function, invoker, known))) {
+        if (usable && (previous == null || RendezvousHash.prefers(function, invoker, previous))) {
             function.keepAliveInvoker = invoker;
         }
     }
 
-    /** Renews the best-ranked instance of a function worth keeping before it expires. */
+    /**
+     * Preloads the function again at its keep-alive invoker, if the function is in use and the idle
+     * instance there would expire soon.
+     */
     private void renewKeepAlive(FunctionState function) {
         InvokerState invoker = function.keepAliveInvoker;
         function.keepAliveInvoker = null;
@@ -70,10 +96,10 @@
             return;
         }
         double keepAlive = state.keepAliveMicros();
-        boolean busy = function.requestCount >= RENEWAL_REQUESTS;
-        boolean recent = state.now - function.lastRequestAt < RENEWAL_IDLE * keepAlive;
-        boolean due = state.now - instance.lastUsedAt > RENEWAL_AGE * keepAlive;
-        if (busy && recent && due && preloads.preload(invoker, function, 1)) {
+        boolean worthKeeping = function.requestCount >= RENEWAL_REQUESTS;
+        boolean recent = state.now - function.lastRequestAt < RENEWAL_IDLE_KEEP_ALIVES * keepAlive;
+        boolean due = state.now - instance.lastUsedAt > RENEWAL_AGE_KEEP_ALIVES * keepAlive;
+        if (worthKeeping && recent && due && preloads.preload(invoker, function, 1)) {
             instance.lastUsedAt = state.now;
         }
     }
