--- a/src/main/java/waytrestle/scheduler/RetryRules.java
+++ b/src/main/java/waytrestle/scheduler/RetryRules.java
@@ -24,8 +24,9 @@
     }
 
     /**
-     * Returns whether the invoker would drop another attempt of the request as a duplicate if an
-     * earlier attempt ran, or needs not to.
+     * Returns whether another attempt of the request may be sent to the invoker. A request with an
+     * idempotency key that may have run is bound to the deduplication scope of the invoker where it
+     * may have run.
      */
     boolean mayRetryAt(RequestState request, InvokerState invoker) {
         if (!request.mayHaveRun || request.requestClass.idempotency() != Idempotency.KEYED) {
--- a/src/test/java/waytrestle/scheduler/EmbeddingTest.java
+++ b/src/test/java/waytrestle/scheduler/EmbeddingTest.java
@@ -9,7 +9,7 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 import waytrestle.scheduler.SchedulerEvent.RequestReceived;
 
-/** The README's embedding example. */
+/** The example in the README of how to embed a scheduler. */
 class EmbeddingTest {
     private interface Transport {
         void send(long id, String invoker);
--- a/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
+++ b/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
@@ -15,11 +15,12 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Changes of the endpoint list. */
+/** How the scheduler applies snapshots and changes of the endpoint list. */
 class EndpointTrackerTest {
     @Test
     void drainingInvokersAndInvokersMissingInASnapshotReceiveNoAttempts() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.feed(
                 new EndpointsUpdated(
                         false,
@@ -27,7 +28,8 @@
                         List.of(new InvokerEndpoint("a", 0, 0, 0, EndpointState.DRAINING, 1, 0))));
         for (int i = 1; i < 9; i++) {
             assertEquals(
-                    "b", onlyCommand(scheduler.request(i, "f" + i), ForwardAttempt.class).invoker());
+                    "b",
+                    onlyCommand(scheduler.request(i, "f" + i), ForwardAttempt.class).invoker());
         }
         scheduler.feed(new EndpointsUpdated(true, false, List.of(readyInvoker("c"))));
         assertEquals("c", onlyCommand(scheduler.request(20, "g"), ForwardAttempt.class).invoker());
@@ -35,16 +37,23 @@
 
     @Test
     void restartedInvokerIsTreatedAsHoldingNoInstances() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
-        long upSince = scheduler.now - 11_000_000;
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String warmInvoker = scheduler.serveWarm(1, "f");
+        long restartedAt = scheduler.now - 11_000_000;
         scheduler.feed(
                 new EndpointsUpdated(
                         false,
                         false,
                         List.of(
                                 new InvokerEndpoint(
-                                        known, 0, 0, 0, EndpointState.READY, 1, upSince))));
+                                        warmInvoker,
+                                        0,
+                                        0,
+                                        0,
+                                        EndpointState.READY,
+                                        1,
+                                        restartedAt))));
         String to =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker();
@@ -53,7 +62,8 @@
         assertEquals(
                 1,
                 commandsOfType(commands, ForwardAttempt.class).size(),
-                "full for a load moves on, full for a warm instance waits");
+                "a full response to a cold attempt is retried elsewhere at once; to a warm one it"
+                        + " waits");
     }
 
     @Test
@@ -66,7 +76,8 @@
                 onlyCommand(scheduler.feed(new EndpointUpdateFailed()), SetTimer.class).timer();
         assertEquals(
                 1,
-                commandsOfType(scheduler.feed(new TimerExpired(timer)), SubscribeToEndpoints.class).size());
+                commandsOfType(scheduler.feed(new TimerExpired(timer)), SubscribeToEndpoints.class)
+                        .size());
     }
 
     @Test
@@ -81,7 +92,7 @@
         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
         assertTrue(
                 scheduler.completePreload("a", "f", 1).isEmpty(),
-                "a late preload response must not bring it back");
+                "a preload response after GONE must have no effect");
         assertTrue(commandsOfType(scheduler.request(2, "f"), ForwardAttempt.class).isEmpty());
         scheduler.feed(new EndpointsUpdated(false, false, List.of(readyInvoker("a"))));
         assertEquals("a", onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker());
--- a/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
@@ -17,11 +17,12 @@
 import waytrestle.scheduler.SchedulerEvent.RequestReceived;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Invokers that cannot be reached, reset, are at capacity or fall silent. */
+/** Backoff from invokers that cannot be reached, reset, are at capacity or no longer respond. */
 class InvokerBackoffTest {
     @Test
     void invokerThatFailsFastReceivesFewRequests() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         scheduler.completeAttempt(1, 0, bad, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
         String good = bad.equals("a") ? "b" : "a";
@@ -32,7 +33,7 @@
             String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             toBad += to.equals(bad) ? 1 : 0;
             scheduler.now += 100_000;
-            List<SchedulerCommand> next =
+            List<SchedulerCommand> retries =
                     scheduler.completeAttempt(
                             i,
                             0,
@@ -40,25 +41,27 @@
                             to.equals(bad) ? ResponseCode.ERROR : ResponseCode.OK,
                             StartKind.WARM,
                             100_000);
-            commandsOfType(next, ForwardAttempt.class)
+            commandsOfType(retries, ForwardAttempt.class)
                     .forEach(
-                            s ->
+                            retry ->
                                     scheduler.completeAttempt(
-                                            s.id(),
+                                            retry.id(),
                                             1,
-                                            s.invoker(),
+                                            retry.invoker(),
                                             ResponseCode.OK,
                                             StartKind.WARM,
                                             100_000));
         }
-        assertTrue(toBad < 4, "went to the failing invoker " + toBad + " times");
+        assertTrue(toBad < 4, "attempts sent to the failing invoker (limit 3): " + toBad);
     }
 
     @Test
     void invokerReceivesAtMostOneAttemptAtATimeAfterAFailedConnection() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
-        scheduler.completeAttempt(1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
+        scheduler.completeAttempt(
+                1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
         scheduler.now += 300_000;
         int trials = 0;
         for (int i = 2; i < 12; i++) {
@@ -69,12 +72,13 @@
                             ? 1
                             : 0;
         }
-        assertTrue(trials <= 1);
+        assertTrue(trials <= 1, "attempts sent to the paused invoker (limit 1): " + trials);
     }
 
     @Test
     void invokerKeepsItsInstancesAfterASingleReset() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 2_000_000);
         scheduler.completeAttempt(2, 0, known, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
@@ -99,7 +103,8 @@
 
     @Test
     void loadAnsweredWithFullNoLongerCountsAsUnderWay() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first =
                 onlyCommand(scheduler.request(1, "f", 5_000_000, 900_000), ForwardAttempt.class)
                         .invoker();
@@ -108,7 +113,7 @@
         String again =
                 onlyCommand(scheduler.request(2, "f", 1_100_000, 900_000), ForwardAttempt.class)
                         .invoker();
-        assertFalse(again.isEmpty(), "a rejected load must not go on counting as one under way");
+        assertFalse(again.isEmpty(), "the load answered with full must not count as one under way");
     }
 
     @Test
@@ -152,17 +157,20 @@
                                                 false, false)),
                                 ForwardAttempt.class)
                         .invoker(),
-                "rejected there");
+                "full responses there to the second class only");
         assertEquals(
                 known,
                 onlyCommand(scheduler.request(51, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
-    /** Requests of one function at one invoker, of which the test resets some. */
+    /**
+     * Sends requests for one function, with ids counted up from the given one, one after the other.
+     * The attempts of the requests chosen by the predicate are reset, the others served.
+     */
     private static void resetSome(
-            SchedulerFixture scheduler, int from, int requests, IntPredicate resets) {
-        for (int i = from; i < from + requests; i++) {
+            SchedulerFixture scheduler, int firstId, int requests, IntPredicate resets) {
+        for (int i = firstId; i < firstId + requests; i++) {
             String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             scheduler.now += 60_000;
             scheduler.completeAttempt(
@@ -183,15 +191,15 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.idempotency = Idempotency.NON_IDEMPOTENT;
         scheduler.start(readyInvoker("a"));
-        resetSome(scheduler, 1, 60, i -> i % 4 == 0 || i % 4 == 1); // two in a row, again and again
-        scheduler.now += 2_000_000; // a pause, if there was one, is over
+        resetSome(scheduler, 1, 60, i -> i % 4 == 0 || i % 4 == 1); // two in a row of every four
+        scheduler.now += 2_000_000; // longer than any pause after these resets
         int sent = 0;
         for (int i = 100; i < 140; i++) {
             sent += commandsOfType(scheduler.request(i, "f"), ForwardAttempt.class).size();
             scheduler.now += 10_000;
             scheduler.completeAttempt(i, 0, "a", ResponseCode.OK, StartKind.WARM, 10_000);
         }
-        assertEquals(40, sent, "a restarted one would get only some of these");
+        assertEquals(40, sent, "attempts to an invoker that is not in its slow start");
     }
 
     @Test
@@ -215,21 +223,26 @@
                 scheduler.completeAttempt(100, 0, "a", ResponseCode.OK, StartKind.COLD, 60_000);
             }
         }
-        assertTrue(sent >= 1 && sent < 12, "within the slow-start budget: " + sent);
+        assertTrue(
+                sent >= 1 && sent < 12, "attempts within the slow-start budget (1 to 11): " + sent);
     }
 
-    /** Attempts at a warm invoker that then falls silent, and what maintenance cancels. */
+    /**
+     * Sends requests to a warm invoker that then does not respond, and runs the maintenance.
+     * Returns the cancelled attempts, after checking that each is retried at another invoker.
+     */
     private static List<CancelAttempt> cancelledAfterSilence(
-            boolean reportsNotLoaded, Idempotency idempotency, int requests, long silence) {
+            boolean reportsNotLoaded, Idempotency idempotency, int requests, long silenceMicros) {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = reportsNotLoaded;
         scheduler.idempotency = idempotency;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
         String known = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 2 + requests; i++) {
-            assertEquals(known, onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
+            assertEquals(
+                    known, onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
         }
-        scheduler.now += silence;
+        scheduler.now += silenceMicros;
         List<SchedulerCommand> commands =
                 scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
         for (CancelAttempt cancel : commandsOfType(commands, CancelAttempt.class)) {
@@ -241,9 +254,9 @@
                                     known,
                                     ResponseCode.CANCELLED,
                                     StartKind.UNKNOWN,
-                                    silence),
+                                    silenceMicros),
                             ForwardAttempt.class);
-            assertTrue(!retry.invoker().equals(known), "not sent there again");
+            assertTrue(!retry.invoker().equals(known), "retried at the silent invoker " + known);
         }
         return commandsOfType(commands, CancelAttempt.class);
     }
@@ -254,18 +267,18 @@
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.NON_IDEMPOTENT, 2, 1_500_000).size(),
-                "they may have run");
+                "non-idempotent attempts may have run");
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.IDEMPOTENT, 1, 1_500_000).size(),
-                "one may just be long");
+                "a single attempt may just take long");
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.IDEMPOTENT, 2, 300_000).size(),
-                "too soon to tell");
+                "300 ms are too short for silence");
         assertEquals(
                 0,
                 cancelledAfterSilence(false, Idempotency.IDEMPOTENT, 2, 1_500_000).size(),
-                "they may wait for a load there");
+                "without not-loaded responses the attempts may wait for a load");
     }
 }
--- a/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
@@ -13,12 +13,13 @@
 import waytrestle.scheduler.SchedulerCommand.ForwardAttempt;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-/** Which invoker a request goes to. */
+/** Which invoker a request is sent to. */
 class InvokerSelectorTest {
     @Test
     void warmInvokerIsPreferredToAHigherRankedColdOneUntilItsInstanceExpires() {
         SchedulerFixture scheduler =
-                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
+                new SchedulerFixture()
+                        .start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
         for (int i = 100; i < 120; i++) {
             scheduler.serveWarm(i, "g" + i);
         }
@@ -31,45 +32,53 @@
                         .invoker();
         scheduler.completeAttempt(1, 1, second, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 5_000_000;
-        assertEquals(second, onlyCommand(scheduler.request(2, "f"), ForwardAttempt.class).invoker());
+        assertEquals(
+                second, onlyCommand(scheduler.request(2, "f"), ForwardAttempt.class).invoker());
         scheduler.completeAttempt(2, 0, second, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 10_100_000;
         assertEquals(
                 first,
                 onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker(),
-                "an unused instance expires");
+                "the instance expires 10 s after its last use");
     }
 
     @Test
     void requestsBeyondTheConcurrencyOfAnInstanceGoToAnotherInvoker() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first = null;
         boolean spread = false;
         for (long id = 1; id <= 14; id++) {
             String to =
-                    onlyCommand(scheduler.request(id, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                    onlyCommand(
+                                    scheduler.request(id, "f", 5_000_000, 300_000),
+                                    ForwardAttempt.class)
                             .invoker();
             first = first == null ? to : first;
             spread |= !to.equals(first);
         }
-        assertTrue(spread, "a long queue costs more than a load elsewhere");
+        assertTrue(spread, "a long queue costs more than a load at another invoker");
     }
 
     @Test
     void controllersWithDifferentListOrdersChooseTheSameColdInvoker() {
         for (int f = 0; f < 20; f++) {
-            SchedulerFixture one = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
-            SchedulerFixture two = new SchedulerFixture().start(readyInvoker("c"), readyInvoker("a"), readyInvoker("b"));
+            SchedulerFixture first =
+                    new SchedulerFixture()
+                            .start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
+            SchedulerFixture second =
+                    new SchedulerFixture()
+                            .start(readyInvoker("c"), readyInvoker("a"), readyInvoker("b"));
             assertEquals(
-                    onlyCommand(one.request(1, "f" + f), ForwardAttempt.class).invoker(),
-                    onlyCommand(two.request(9, "f" + f), ForwardAttempt.class).invoker());
+                    onlyCommand(first.request(1, "f" + f), ForwardAttempt.class).invoker(),
+                    onlyCommand(second.request(9, "f" + f), ForwardAttempt.class).invoker());
         }
     }
 
     @Test
     void controllersSpreadABusyFunctionButNotARareOne() {
-        Set<String> hot = new TreeSet<>();
-        Set<String> rare = new TreeSet<>();
+        Set<String> busyInvokers = new TreeSet<>();
+        Set<String> rareInvokers = new TreeSet<>();
         InvokerEndpoint[] fleet = new InvokerEndpoint[20];
         for (int i = 0; i < fleet.length; i++) {
             fleet[i] = readyInvoker("w" + i);
@@ -91,13 +100,18 @@
                             StartKind.LOAD_FAILED,
                             1_000);
                     if (i > 20) {
-                        (i % 2 == 0 ? hot : rare)
+                        (i % 2 == 0 ? busyInvokers : rareInvokers)
                                 .add((i % 2 == 0 ? "" : function + " ") + attempt.invoker());
                     }
                 }
             }
         }
-        assertTrue(hot.size() >= 5, "half of all requests need several invokers: " + hot);
-        assertEquals(10, rare.size(), "a rare function has one invoker: " + rare);
+        assertTrue(
+                busyInvokers.size() >= 5,
+                "a function with half of all requests uses at least 5 invokers: " + busyInvokers);
+        assertEquals(
+                10,
+                rareInvokers.size(),
+                "each of the 10 rare functions uses one invoker: " + rareInvokers);
     }
 }
--- a/src/test/java/waytrestle/scheduler/ReadinessLeasesTest.java
+++ b/src/test/java/waytrestle/scheduler/ReadinessLeasesTest.java
@@ -18,13 +18,13 @@
 import waytrestle.scheduler.SchedulerEvent.ListFreshnessChanged;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Who gets new work while service discovery is out of reach. */
+/** Which invokers get new work while service discovery is unreachable. */
 class ReadinessLeasesTest {
     /** Four fifths of the fixture's drain grace. */
     private static final long LEASE_MICROS = 400_000;
 
     private static final long ROUND_TRIP_MICROS = 2_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final SchedulerFixture scheduler = new SchedulerFixture();
 
@@ -34,15 +34,16 @@
         scheduler.feed(new ListFreshnessChanged(scheduler.now, false));
     }
 
-    private List<SchedulerCommand> checked(String invoker, ResponseCode code) {
-        return checked(invoker, code, 1);
+    private List<SchedulerCommand> completeHealthCheck(String invoker, ResponseCode code) {
+        return completeHealthCheck(invoker, code, 1);
     }
 
-    private List<SchedulerCommand> checked(String invoker, ResponseCode code, long connectedSince) {
+    private List<SchedulerCommand> completeHealthCheck(
+            String invoker, ResponseCode code, long connectedSinceMicros) {
         scheduler.now += ROUND_TRIP_MICROS;
         return scheduler.feed(
                 new HealthCheckCompleted(
-                        invoker, code, ROUND_TRIP_MICROS, Map.of(), connectedSince));
+                        invoker, code, ROUND_TRIP_MICROS, Map.of(), connectedSinceMicros));
     }
 
     private boolean mayStartWork(String invoker) {
@@ -50,7 +51,10 @@
     }
 
     private static String checkedInvoker(List<SchedulerCommand> commands) {
-        assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class), "nothing is sent unasked");
+        assertEquals(
+                List.of(),
+                commandsOfType(commands, ForwardAttempt.class),
+                "no attempt before the health check");
         return onlyCommand(commands, CheckHealth.class).invoker();
     }
 
@@ -58,7 +62,7 @@
     void noHealthChecksAreSentWhileTheEndpointListIsCurrent() {
         scheduler.mayCheckHealth = true;
         scheduler.start(readyInvoker("a"));
-        scheduler.now += 100 * SECOND;
+        scheduler.now += 100 * SECOND_MICROS;
         List<SchedulerCommand> commands = scheduler.request(1, "f");
         assertEquals("a", onlyCommand(commands, ForwardAttempt.class).invoker());
         assertEquals(List.of(), commandsOfType(commands, CheckHealth.class));
@@ -74,10 +78,13 @@
         assertFalse(mayStartWork("a"));
         assertEquals("a", checkedInvoker(scheduler.request(2, "g")));
         assertEquals(
-                List.of(), commandsOfType(scheduler.request(3, "h"), CheckHealth.class), "one at a time");
+                List.of(),
+                commandsOfType(scheduler.request(3, "h"), CheckHealth.class),
+                "one health check at a time");
         long sentAt = scheduler.now;
-        List<SchedulerCommand> commands = checked("a", ResponseCode.OK);
-        assertEquals(2, commandsOfType(commands, ForwardAttempt.class).size(), "both that waited");
+        List<SchedulerCommand> commands = completeHealthCheck("a", ResponseCode.OK);
+        assertEquals(
+                2, commandsOfType(commands, ForwardAttempt.class).size(), "both waiting requests");
         scheduler.now = sentAt + LEASE_MICROS;
         assertTrue(mayStartWork("a"), "the lease counts from when the check was sent");
         scheduler.now++;
@@ -91,7 +98,7 @@
         ForwardAttempt attempt = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class);
         scheduler.now += 50_000;
         scheduler.completeAttempt(1, 0, attempt.invoker(), ResponseCode.OK, StartKind.WARM, 50_000);
-        assertFalse(mayStartWork("a"), "a draining invoker accepts requests for a while");
+        assertFalse(mayStartWork("a"), "a draining invoker still serves requests for a while");
     }
 
     @Test
@@ -99,12 +106,18 @@
         startAndLoseDiscovery(readyInvoker("a"));
         scheduler.now += LEASE_MICROS + 1;
         checkedInvoker(scheduler.request(1, "f"));
-        checked("a", ResponseCode.OK);
+        completeHealthCheck("a", ResponseCode.OK);
         scheduler.now += LEASE_MICROS / 4;
-        assertEquals(List.of(), commandsOfType(scheduler.request(2, "f"), CheckHealth.class), "too early");
+        assertEquals(
+                List.of(),
+                commandsOfType(scheduler.request(2, "f"), CheckHealth.class),
+                "in the first half of the lease");
         scheduler.now += LEASE_MICROS / 2;
         List<SchedulerCommand> commands = scheduler.request(3, "f");
-        assertEquals(1, commandsOfType(commands, ForwardAttempt.class).size(), "nothing waits for it");
+        assertEquals(
+                1,
+                commandsOfType(commands, ForwardAttempt.class).size(),
+                "the attempt does not wait for the check");
         assertEquals(1, commandsOfType(commands, CheckHealth.class).size());
     }
 
@@ -114,8 +127,8 @@
         scheduler.now += LEASE_MICROS + 1;
         String draining = checkedInvoker(scheduler.request(1, "f"));
         String other = draining.equals("a") ? "b" : "a";
-        assertEquals(other, checkedInvoker(checked(draining, ResponseCode.ERROR)));
-        List<SchedulerCommand> commands = checked(other, ResponseCode.OK);
+        assertEquals(other, checkedInvoker(completeHealthCheck(draining, ResponseCode.ERROR)));
+        List<SchedulerCommand> commands = completeHealthCheck(other, ResponseCode.OK);
         assertEquals(other, onlyCommand(commands, ForwardAttempt.class).invoker());
         for (int i = 2; i < 10; i++) {
             scheduler.now += 10_000;
@@ -136,7 +149,7 @@
                 scheduler.feed(new TimerExpired(new SchedulerTimer.QueuedRequestRetry(1)));
         String other = checkedInvoker(commands);
         assertFalse(other.equals(silent));
-        commands = checked(other, ResponseCode.OK);
+        commands = completeHealthCheck(other, ResponseCode.OK);
         assertEquals(other, onlyCommand(commands, ForwardAttempt.class).invoker());
     }
 
@@ -144,20 +157,21 @@
     void deferredPreloadIsSentAfterAPassedHealthCheckAndDroppedAfterAFailedOne() {
         scheduler.mayCheckHealth = true;
         scheduler.start(readyInvoker("a"));
-        for (int i = 100; i < 120; i++) { // teaches that guesses find no loaded instance
+        for (int i = 100; i < 120; i++) { // unknown instances prove cold
             scheduler.request(i, "g" + i);
             scheduler.completeAttempt(i, 0, "a", ResponseCode.OK, StartKind.COLD, 600_000);
         }
         scheduler.feed(new ListFreshnessChanged(scheduler.now, false));
         scheduler.now += LEASE_MICROS + 1;
-        List<SchedulerCommand> commands = scheduler.request(1, "f", SECOND, 4 * SECOND);
+        List<SchedulerCommand> commands =
+                scheduler.request(1, "f", SECOND_MICROS, 4 * SECOND_MICROS);
         onlyCommand(commands, RejectRequest.class);
         assertEquals(List.of(), commandsOfType(commands, PreloadFunction.class));
-        commands = checked("a", ResponseCode.OK);
+        commands = completeHealthCheck("a", ResponseCode.OK);
         assertEquals("f", onlyCommand(commands, PreloadFunction.class).function());
         scheduler.now += LEASE_MICROS + 1;
-        scheduler.request(2, "g", SECOND, 4 * SECOND);
-        commands = checked("a", ResponseCode.ERROR);
+        scheduler.request(2, "g", SECOND_MICROS, 4 * SECOND_MICROS);
+        commands = completeHealthCheck("a", ResponseCode.ERROR);
         assertEquals(List.of(), commandsOfType(commands, PreloadFunction.class));
     }
 
@@ -168,11 +182,14 @@
         scheduler.feed(new ListFreshnessChanged(lostAt, false));
         scheduler.now += LEASE_MICROS + 1;
         List<SchedulerCommand> commands = scheduler.request(1, "f");
-        assertEquals(SECOND, onlyCommand(commands, RejectRequest.class).retryAfterMicros());
+        assertEquals(SECOND_MICROS, onlyCommand(commands, RejectRequest.class).retryAfterMicros());
         assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class));
         scheduler.feed(new ListFreshnessChanged(lostAt, true));
         commands = scheduler.request(3, "f");
-        assertEquals(List.of(), commandsOfType(commands, RejectRequest.class), "it is about to be back");
+        assertEquals(
+                List.of(),
+                commandsOfType(commands, RejectRequest.class),
+                "the missed changes are being delivered");
         assertEquals(List.of(), commandsOfType(commands, ForwardAttempt.class));
         scheduler.feed(new ListFreshnessChanged(ListFreshnessChanged.CURRENT, false));
         assertEquals(1, commandsOfType(scheduler.request(2, "f"), ForwardAttempt.class).size());
@@ -180,44 +197,58 @@
 
     @Test
     void instancesAreForgottenAfterTimeForARestartWithoutALastingConnection() {
-        assertFalse(keepsInstances(scheduler, 5 * SECOND, Long.MAX_VALUE));
-        assertTrue(keepsInstances(new SchedulerFixture(), 5 * SECOND, 1), "a connection lasted");
-        assertTrue(keepsInstances(new SchedulerFixture(), 2 * SECOND, Long.MAX_VALUE), "no time");
+        assertFalse(keepsInstances(scheduler, 5 * SECOND_MICROS, Long.MAX_VALUE));
+        assertTrue(
+                keepsInstances(new SchedulerFixture(), 5 * SECOND_MICROS, 1),
+                "a connection has lasted");
+        assertTrue(
+                keepsInstances(new SchedulerFixture(), 2 * SECOND_MICROS, Long.MAX_VALUE),
+                "2 s are too short for a restart");
     }
 
     @Test
     void instancesAreForgottenAfterAFailedHealthCheckUnlessTheConnectionLasted() {
-        for (long connectedSince : new long[] {1, Long.MAX_VALUE}) {
-            SchedulerFixture each = new SchedulerFixture();
-            each.mayCheckHealth = true;
-            each.start(readyInvoker("a"));
-            each.serveWarm(1, "f");
-            each.feed(new ListFreshnessChanged(each.now, false));
-            each.now += LEASE_MICROS + 1;
-            checkedInvoker(each.request(2, "f"));
-            each.feed(new HealthCheckCompleted("a", ResponseCode.ERROR, 1, Map.of(), 1));
-            each.now += SECOND;
-            checkedInvoker(each.request(3, "f"));
-            each.feed(new HealthCheckCompleted("a", ResponseCode.OK, 1, Map.of(), connectedSince));
+        for (long connectedSinceMicros : new long[] {1, Long.MAX_VALUE}) {
+            SchedulerFixture fixture = new SchedulerFixture();
+            fixture.mayCheckHealth = true;
+            fixture.start(readyInvoker("a"));
+            fixture.serveWarm(1, "f");
+            fixture.feed(new ListFreshnessChanged(fixture.now, false));
+            fixture.now += LEASE_MICROS + 1;
+            checkedInvoker(fixture.request(2, "f"));
+            fixture.feed(new HealthCheckCompleted("a", ResponseCode.ERROR, 1, Map.of(), 1));
+            fixture.now += SECOND_MICROS;
+            checkedInvoker(fixture.request(3, "f"));
+            fixture.feed(
+                    new HealthCheckCompleted(
+                            "a", ResponseCode.OK, 1, Map.of(), connectedSinceMicros));
             boolean kept =
-                    !commandsOfType(each.request(4, "f", 3 * SECOND, 9 * SECOND), ForwardAttempt.class)
+                    !commandsOfType(
+                                    fixture.request(4, "f", 3 * SECOND_MICROS, 9 * SECOND_MICROS),
+                                    ForwardAttempt.class)
                             .isEmpty();
-            assertEquals(connectedSince == 1, kept, "connected since " + connectedSince);
+            assertEquals(
+                    connectedSinceMicros == 1, kept, "connected since " + connectedSinceMicros);
         }
     }
 
-    /** Whether an instance there is still known after a check that passes so long after a loss. */
+    /**
+     * Returns whether the scheduler still knows an instance at its invoker after the invoker passes
+     * a health check. The check is sent {@code afterMicros} after the loss of service discovery.
+     */
     private static boolean keepsInstances(
-            SchedulerFixture scheduler, long afterMicros, long connectedSince) {
+            SchedulerFixture scheduler, long afterMicros, long connectedSinceMicros) {
         scheduler.mayCheckHealth = true;
         scheduler.start(readyInvoker("a"));
         scheduler.serveWarm(1, "f");
         scheduler.feed(new ListFreshnessChanged(scheduler.now, false));
         scheduler.now += afterMicros;
         checkedInvoker(scheduler.request(2, "f"));
-        long seen = Math.max(connectedSince, 1);
-        scheduler.feed(new HealthCheckCompleted("a", ResponseCode.OK, 1, Map.of(), seen));
-        List<SchedulerCommand> commands = scheduler.request(3, "f", 3 * SECOND, 9 * SECOND);
+        long knownConnectedSince = Math.max(connectedSinceMicros, 1);
+        scheduler.feed(
+                new HealthCheckCompleted("a", ResponseCode.OK, 1, Map.of(), knownConnectedSince));
+        List<SchedulerCommand> commands =
+                scheduler.request(3, "f", 3 * SECOND_MICROS, 9 * SECOND_MICROS);
         return !commandsOfType(commands, ForwardAttempt.class).isEmpty();
     }
 }
--- a/src/test/java/waytrestle/scheduler/RequestRouterTest.java
+++ b/src/test/java/waytrestle/scheduler/RequestRouterTest.java
@@ -20,11 +20,12 @@
 import waytrestle.scheduler.SchedulerEvent.AttemptCompleted;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** What becomes of a request: forwarded, queued, rejected or failed. */
+/** Whether a request is forwarded, queued, rejected or failed. */
 class RequestRouterTest {
     @Test
     void requestIsRejectedAndItsFunctionPreloadedWhenTheBestEstimateExceedsTheTimeLeft() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         for (int i = 100; i < 120; i++) {
             String to = onlyCommand(scheduler.request(i, "g" + i), ForwardAttempt.class).invoker();
             scheduler.completeAttempt(i, 0, to, ResponseCode.OK, StartKind.COLD, 600_000);
@@ -34,28 +35,34 @@
         assertEquals(
                 1,
                 onlyCommand(commands, PreloadFunction.class).instances(),
-                "or a slow function would be rejected for ever");
+                "without a preload, a function that loads slowly would be rejected forever");
         SchedulerFixture fits = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         assertEquals(
-                1, commandsOfType(fits.request(2, "f", 4_500_000, 4_000_000), ForwardAttempt.class).size());
+                1,
+                commandsOfType(fits.request(2, "f", 4_500_000, 4_000_000), ForwardAttempt.class)
+                        .size());
     }
 
     @Test
     void requestIsForwardedWhenTheLoadTimeIsUnknown() {
         SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"));
-        assertEquals(1, commandsOfType(scheduler.request(1, "f", 300_000, 0), ForwardAttempt.class).size());
+        assertEquals(
+                1,
+                commandsOfType(scheduler.request(1, "f", 300_000, 0), ForwardAttempt.class).size());
     }
 
     @Test
     void loadLongerThanTheTimeLeftRejectsOnlyOnceUnknownInstancesProveMostlyCold() {
         SchedulerFixture scheduler =
-                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
+                new SchedulerFixture()
+                        .start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
         for (int i = 1; i < 20; i++) {
             scheduler.serveWarm(i, "g" + i);
         }
         assertEquals(
                 1,
-                commandsOfType(scheduler.request(50, "f", 400_000, 2_000_000), ForwardAttempt.class).size());
+                commandsOfType(scheduler.request(50, "f", 400_000, 2_000_000), ForwardAttempt.class)
+                        .size());
         for (int i = 100; i < 160; i++) {
             ForwardAttempt attempt =
                     onlyCommand(
@@ -66,7 +73,8 @@
         }
         assertEquals(
                 1,
-                commandsOfType(scheduler.request(200, "k", 400_000, 2_000_000), RejectRequest.class).size());
+                commandsOfType(scheduler.request(200, "k", 400_000, 2_000_000), RejectRequest.class)
+                        .size());
     }
 
     @Test
@@ -77,12 +85,12 @@
         String to =
                 onlyCommand(scheduler.request(1, "f", 4_000_000, 500_000), ForwardAttempt.class)
                         .invoker();
-        List<SchedulerCommand> missed =
-                scheduler.completeAttempt(1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
-        assertEquals(to, onlyCommand(missed, PreloadFunction.class).invoker());
-        String next = onlyCommand(missed, ForwardAttempt.class).invoker();
-        assertNotEquals(
-                to, next, "another may hold an instance, and a not-loaded response costs little");
+        List<SchedulerCommand> afterNotLoaded =
+                scheduler.completeAttempt(
+                        1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        assertEquals(to, onlyCommand(afterNotLoaded, PreloadFunction.class).invoker());
+        String next = onlyCommand(afterNotLoaded, ForwardAttempt.class).invoker();
+        assertNotEquals(to, next, "another invoker may hold an instance");
         scheduler.completeAttempt(1, 1, next, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         scheduler.now += 20_000;
         assertEquals(
@@ -92,7 +100,7 @@
                                         new TimerExpired(new SchedulerTimer.QueuedRequestRetry(1))),
                                 ForwardAttempt.class)
                         .invoker(),
-                "waits for the load");
+                "the request waited for the preload there");
     }
 
     @Test
@@ -138,7 +146,8 @@
         assertEquals(1, commandsOfType(commands, FailRequest.class).size());
         assertEquals(1, commandsOfType(commands, CancelAttempt.class).size());
         assertTrue(
-                sent.completeAttempt(1, 0, "a", ResponseCode.CANCELLED, StartKind.UNKNOWN, 1).isEmpty());
+                sent.completeAttempt(1, 0, "a", ResponseCode.CANCELLED, StartKind.UNKNOWN, 1)
+                        .isEmpty());
     }
 
     @Test
@@ -148,13 +157,16 @@
         assertEquals(
                 1,
                 commandsOfType(scheduler.request(2, "f", 60_000, 0), ForwardAttempt.class).size(),
-                "usual run 100 ms");
-        assertEquals(1, commandsOfType(scheduler.request(3, "f", 20_000, 0), RejectRequest.class).size());
+                "60 ms fit a run that is quicker than the usual 100 ms");
+        assertEquals(
+                1,
+                commandsOfType(scheduler.request(3, "f", 20_000, 0), RejectRequest.class).size());
     }
 
     @Test
     void requestsForUnknownFunctionsAreRejectedWhenAllQueuesAreLong() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         int rejected = 0;
         for (int i = 1; i < 30; i++) {
             List<SchedulerCommand> commands = scheduler.request(i, "f" + i);
@@ -176,7 +188,7 @@
         }
         assertTrue(
                 rejected > 10,
-                "all queues are long, though no function was requested twice: " + rejected);
+                "requests rejected while all queues are long (at least 11): " + rejected);
     }
 
     @Test
@@ -186,16 +198,21 @@
         int rejected = 0;
         for (int i = 2; i < 40; i++) {
             rejected +=
-                    commandsOfType(scheduler.request(i, "f", 5_000_000, 300_000), RejectRequest.class)
+                    commandsOfType(
+                                    scheduler.request(i, "f", 5_000_000, 300_000),
+                                    RejectRequest.class)
                             .size();
         }
-        assertTrue(rejected > 0 && rejected < 38, "rejected " + rejected);
+        assertTrue(
+                rejected > 0 && rejected < 38,
+                "rejected requests of 38 (some, not all): " + rejected);
         SchedulerFixture queued = new SchedulerFixture().start(readyInvoker("a"));
         queued.serveWarm(1, "f");
         for (int i = 2; i < 7; i++) {
             assertEquals(
                     1,
-                    commandsOfType(queued.request(i, "f", 5_000_000, 300_000), ForwardAttempt.class).size());
+                    commandsOfType(queued.request(i, "f", 5_000_000, 300_000), ForwardAttempt.class)
+                            .size());
         }
         queued.now += 700_000;
         queued.completeAttempt(2, 0, "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
@@ -205,12 +222,13 @@
         assertEquals(
                 1,
                 commandsOfType(commands, RejectRequest.class).size(),
-                "too late for the objective by now");
+                "740 ms since arrival plus the estimate exceed the objective");
     }
 
     @Test
     void fullResponseFromAWarmInvokerRetriesElsewhere() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 300_000);
         List<SchedulerCommand> commands =
@@ -218,7 +236,7 @@
         assertNotEquals(
                 known,
                 onlyCommand(commands, ForwardAttempt.class).invoker(),
-                "it may reject this class for long");
+                "the invoker may stay full for the class");
     }
 
     @Test
@@ -226,7 +244,8 @@
         List<List<SchedulerCommand>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             SchedulerFixture scheduler =
-                    new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
+                    new SchedulerFixture()
+                            .start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
             for (int i = 1; i < 50; i++) {
                 scheduler.now += 7_000;
                 scheduler.request(i, "f" + i % 9);
--- a/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
+++ b/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
@@ -13,11 +13,12 @@
 import waytrestle.scheduler.SchedulerCommand.RejectRequest;
 import waytrestle.scheduler.SchedulerEvent.AttemptCompleted;
 
-/** What responses and load reports teach. */
+/** What the scheduler learns from responses and load reports. */
 class ResponseLearnerTest {
     @Test
     void reportedQueueWithoutInFlightCountMovesTheNextRequestElsewhere() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
         String known =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
@@ -41,7 +42,8 @@
 
     @Test
     void reportedQueueOfRequestsWaitingForLoadsDoesNotCountAsQueue() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
         String known =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
@@ -65,8 +67,9 @@
 
     @Test
     void reportedQueueLosesItsEffectWithinEightSeconds() {
-        for (long later : new long[] {0, 8_000_000}) {
-            SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        for (long ageMicros : new long[] {0, 8_000_000}) {
+            SchedulerFixture scheduler =
+                    new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
             String known = scheduler.serveWarm(1, "f");
             scheduler.request(2, "f", 5_000_000, 300_000);
             scheduler.feed(
@@ -80,11 +83,12 @@
                             StartKind.WARM,
                             -1,
                             Map.of("queue", 60.0)));
-            scheduler.now += later;
+            scheduler.now += ageMicros;
             String to =
                     onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                             .invoker();
-            assertEquals(later > 0, known.equals(to), "after " + later);
+            assertEquals(
+                    ageMicros > 0, known.equals(to), "report age in microseconds: " + ageMicros);
         }
     }
 
@@ -98,7 +102,7 @@
             List<SchedulerCommand> commands = scheduler.request(i, "f" + i, 2_400_000, 3_000_000);
             scheduler.now += 10_000;
             for (ForwardAttempt attempt : commandsOfType(commands, ForwardAttempt.class)) {
-                boolean notLoaded = i <= 2; // all others are loaded wherever they are requested
+                boolean notLoaded = i <= 2; // all later functions are loaded at every invoker
                 scheduler.completeAttempt(
                         i,
                         0,
@@ -109,6 +113,6 @@
             }
             rejected += i > 200 && commandsOfType(commands, RejectRequest.class).size() > 0 ? 1 : 0;
         }
-        assertEquals(0, rejected, "of the last hundred");
+        assertEquals(0, rejected, "rejected among the last 100 requests");
     }
 }
--- a/src/test/java/waytrestle/scheduler/RetryRulesTest.java
+++ b/src/test/java/waytrestle/scheduler/RetryRulesTest.java
@@ -31,7 +31,8 @@
             assertNotEquals(
                     to,
                     onlyCommand(
-                                    scheduler.completeAttempt(1, 0, to, code, StartKind.UNKNOWN, 1_000),
+                                    scheduler.completeAttempt(
+                                            1, 0, to, code, StartKind.UNKNOWN, 1_000),
                                     ForwardAttempt.class)
                             .invoker());
         }
@@ -63,23 +64,25 @@
                 new InvokerEndpoint("b", 0, 2, 0, EndpointState.READY, 1, 0),
                 new InvokerEndpoint("c", 0, 1, 0, EndpointState.READY, 1, 0),
                 new InvokerEndpoint("d", 0, 2, 0, EndpointState.READY, 1, 0));
-        Map<String, String> mate = Map.of("a", "c", "c", "a", "b", "d", "d", "b");
+        Map<String, String> otherOfCell = Map.of("a", "c", "c", "a", "b", "d", "d", "b");
         String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         assertEquals(
-                mate.get(to),
+                otherOfCell.get(to),
                 onlyCommand(
                                 scheduler.completeAttempt(
                                         1, 0, to, ResponseCode.ERROR, StartKind.UNKNOWN, 1_000),
                                 ForwardAttempt.class)
                         .invoker());
         String late =
-                onlyCommand(scheduler.request(2, "g", 5_000_000, 0), ForwardAttempt.class).invoker();
+                onlyCommand(scheduler.request(2, "g", 5_000_000, 0), ForwardAttempt.class)
+                        .invoker();
         scheduler.now += 3_000_000;
         List<SchedulerCommand> commands =
-                scheduler.completeAttempt(2, 0, late, ResponseCode.ERROR, StartKind.UNKNOWN, 3_000_000);
+                scheduler.completeAttempt(
+                        2, 0, late, ResponseCode.ERROR, StartKind.UNKNOWN, 3_000_000);
         assertEquals(
                 1,
                 commandsOfType(commands, FailRequest.class).size(),
-                "the cell no longer deduplicates, and it may have run");
+                "the request may have run, and its deduplication window is over");
     }
 }
--- a/src/test/java/waytrestle/scheduler/SchedulerFixture.java
+++ b/src/test/java/waytrestle/scheduler/SchedulerFixture.java
@@ -15,7 +15,10 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 import waytrestle.scheduler.SchedulerSettings.Rules;
 
-/** Settings and events for tests: one scheduler, driven by hand. */
+/**
+ * Drives one scheduler in tests: holds its settings, which a test changes before {@link #start},
+ * the time, and the commands issued so far. Times are in microseconds.
+ */
 final class SchedulerFixture {
     boolean reportsNotLoaded;
     boolean acceptsPreloads = true;
@@ -30,8 +33,13 @@
     DeduplicationScope deduplicationScope = DeduplicationScope.CELL;
     int maxAttempts = 5;
     DiscoveryMode discovery = DiscoveryMode.PUSH;
+
+    /** Time of the next event. */
     long now = 50_000_000;
+
     FinishTimeScheduler scheduler;
+
+    /** All commands that the scheduler has issued. */
     final List<SchedulerCommand> commands = new ArrayList<>();
 
     SchedulerSettings settings() {
@@ -40,75 +48,94 @@
                         "call",
                         idempotency,
                         deduplicationScope,
-                        3_000_000,
-                        800_000,
-                        0,
-                        5_000_000,
-                        1,
-                        0.3,
-                        false);
+                        /* deduplicationWindowMicros= */ 3_000_000,
+                        /* objectiveMicros= */ 800_000,
+                        /* objectiveStretch= */ 0,
+                        /* deadlineMicros= */ 5_000_000,
+                        /* priorityWeight= */ 1,
+                        /* latePriorityWeight= */ 0.3,
+                        /* streaming= */ false);
         return new SchedulerSettings(
-                0,
+                /* controllerIndex= */ 0,
                 controllerCount,
-                0,
-                4_000,
+                /* zone= */ 0,
+                /* tickMicros= */ 4_000,
                 discovery,
                 LoadReportSource.RESPONSES,
                 "none",
-                0.1,
+                /* overQuotaWeight= */ 0.1,
                 Collections.nCopies(classCount, requestClass),
                 List.of(),
                 new Limits(
                         maxAttempts,
-                        20_000,
-                        true,
+                        /* maxInFlight= */ 20_000,
+                        /* mayCancel= */ true,
                         mayCheckHealth,
-                        false,
-                        false,
-                        true,
-                        1_000_000,
-                        250_000),
-                new Rules(16_000, 500_000, 0.25, 10_000_000, 2, 2_000_000, 10_000_000),
+                        /* mayGossip= */ false,
+                        /* mayHedge= */ false,
+                        /* sendsRetryAfter= */ true,
+                        /* maxRetryAfterMicros= */ 1_000_000,
+                        /* connectTimeoutMicros= */ 250_000),
+                new Rules(
+                        /* responseSlackMicros= */ 16_000,
+                        /* drainGraceMicros= */ 500_000,
+                        /* slowStartInitialShare= */ 0.25,
+                        /* slowStartMicros= */ 10_000_000,
+                        /* overloadMultiple= */ 2,
+                        /* overloadWindowMicros= */ 2_000_000,
+                        /* pollIntervalMicros= */ 10_000_000),
                 new Preloading(
                         reportsNotLoaded,
                         acceptsPreloads,
-                        true,
-                        false,
-                        10_000_000,
-                        10_000_000,
-                        0,
+                        /* reportsStartKind= */ true,
+                        /* reportsConcurrency= */ false,
+                        /* keepAliveMicros= */ 10_000_000,
+                        /* preloadTimeoutMicros= */ 10_000_000,
+                        /* idleMemoryCost= */ 0,
                         freePreloads,
                         preloadsPerRequest,
                         preloadPeriodMicros,
                         List.of(8_000.0)),
-                new Costs(0.02, 0.03, healthCheckCost, 0.05, 0.03, 0, 0, 0, 0));
+                new Costs(
+                        /* crossZone= */ 0.02,
+                        /* waste= */ 0.03,
+                        healthCheckCost,
+                        /* lateFailure= */ 0.05,
+                        /* fetch= */ 0.03,
+                        /* gossip= */ 0,
+                        /* connection= */ 0,
+                        /* handshake= */ 0,
+                        /* listEntries= */ 0));
     }
 
+    /** Creates the scheduler and gives it the invokers as its first endpoint list. */
     SchedulerFixture start(InvokerEndpoint... invokers) {
-        scheduler = new FinishTimeScheduler(settings(), 7);
+        scheduler = new FinishTimeScheduler(settings(), /* seed= */ 7);
         feed(new EndpointsUpdated(true, true, List.of(invokers)));
         return this;
     }
 
+    /** Returns an invoker that is ready and past its slow start. */
     static InvokerEndpoint readyInvoker(String id) {
         return new InvokerEndpoint(id, 0, 0, 0, EndpointState.READY, 1, 0);
     }
 
+    /** Gives the scheduler an event at the present time, and returns the commands for it. */
     List<SchedulerCommand> feed(SchedulerEvent event) {
-        List<SchedulerCommand> handled = new ArrayList<>();
-        scheduler.handle(now, event, handled::add);
-        commands.addAll(handled);
-        return handled;
+        List<SchedulerCommand> issued = new ArrayList<>();
+        scheduler.handle(now, event, issued::add);
+        commands.addAll(issued);
+        return issued;
     }
 
     List<SchedulerCommand> request(long id, String function) {
-        return request(id, function, 3_000_000, 0);
+        return request(id, function, 3_000_000, /* loadMicros= */ 0);
     }
 
-    List<SchedulerCommand> request(long id, String function, long left, long loadMicros) {
+    List<SchedulerCommand> request(long id, String function, long timeLeftMicros, long loadMicros) {
         return feed(
                 new RequestReceived(
-                        id, 0, -1, function, left, 0, 300, 2, loadMicros, false, false));
+                        id, 0, -1, function, timeLeftMicros, 0, 300, 2, loadMicros, false, false));
     }
 
     List<SchedulerCommand> completeAttempt(
@@ -117,7 +144,7 @@
             String invoker,
             ResponseCode code,
             StartKind start,
-            long elapsed) {
+            long elapsedMicros) {
         return feed(
                 new AttemptCompleted(
                         id,
@@ -125,7 +152,7 @@
                         invoker,
                         code,
                         code == ResponseCode.OK,
-                        elapsed,
+                        elapsedMicros,
                         start,
                         -1,
                         Map.of()));
@@ -135,7 +162,10 @@
         return feed(new PreloadCompleted(invoker, function, ResponseCode.OK, 1_000, instances));
     }
 
-    /** Has a request of the function served, and returns the invoker that holds it now. */
+    /**
+     * Sends a request for the function and has its attempt served warm after 100 ms. Returns the
+     * invoker, which holds a loaded instance afterwards.
+     */
     String serveWarm(long id, String function) {
         ForwardAttempt attempt = onlyCommand(request(id, function), ForwardAttempt.class);
         now += 100_000;
@@ -143,14 +173,16 @@
         return attempt.invoker();
     }
 
-    static <T> List<T> commandsOfType(List<SchedulerCommand> commands, Class<T> kind) {
-        return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
+    static <T> List<T> commandsOfType(List<SchedulerCommand> commands, Class<T> type) {
+        return commands.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    static <T> T onlyCommand(List<SchedulerCommand> commands, Class<T> kind) {
-        List<T> found = commandsOfType(commands, kind);
+    /** Returns the only command of the type; fails if there is none or more than one. */
+    static <T> T onlyCommand(List<SchedulerCommand> commands, Class<T> type) {
+        List<T> found = commandsOfType(commands, type);
         if (found.size() != 1) {
-            throw new AssertionError("wanted one " + kind.getSimpleName() + " in " + commands);
+            throw new AssertionError(
+                    "expected exactly one " + type.getSimpleName() + " among " + commands);
         }
         return found.get(0);
     }
--- a/src/test/java/waytrestle/scheduler/SchedulingRulesTest.java
+++ b/src/test/java/waytrestle/scheduler/SchedulingRulesTest.java
@@ -21,7 +21,10 @@
 import waytrestle.scheduler.SchedulerEvent.PreloadCompleted;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Seeded random event streams; the rules are checked on every command. */
+/**
+ * Feeds seeded random events to a scheduler and checks each command against the scheduling rules,
+ * from a record of the requests that the test keeps itself.
+ */
 class SchedulingRulesTest {
     private static final int STEPS = 6_000;
     private static final int INVOKERS = 6;
@@ -33,7 +36,7 @@
     private static final int FREE_PRELOADS = 3;
     private static final double PRELOADS_PER_REQUEST = 0.2;
 
-    /** What the checks remember of a request. */
+    /** What the test knows about a request. Times are in microseconds. */
     private static final class TrackedRequest {
         final long deadline;
         final List<Long> sentAt = new ArrayList<>();
@@ -78,7 +81,7 @@
             checked += commands.size();
             checkResponses();
         }
-        assertTrue(checked > 3_000, "the events must exercise the scheduler: " + checked);
+        assertTrue(checked > 3_000, "checked commands (at least 3001): " + checked);
     }
 
     private void start(long seed) {
@@ -148,7 +151,7 @@
                         Map.of()));
     }
 
-    /** Stated here once more, apart from the program's own word. */
+    /** Repeats {@link ResponseCode#provesNotRun}, so that an error there fails the test. */
     private static boolean provesNotRun(ResponseCode code) {
         return code == ResponseCode.FULL
                 || code == ResponseCode.CONNECT_FAILED
@@ -209,29 +212,38 @@
 
     private void checkAttempt(ForwardAttempt attempt) {
         TrackedRequest request = requests.get(attempt.id());
-        assertEquals(EndpointState.READY, states.get(attempt.invoker()), "draining");
-        assertTrue(!request.completed, "sent after the response");
-        assertEquals(0, request.inFlight, "two attempts at a time");
+        assertEquals(
+                EndpointState.READY,
+                states.get(attempt.invoker()),
+                "attempt to an invoker that is not ready");
+        assertTrue(!request.completed, "attempt after the response");
+        assertEquals(0, request.inFlight, "attempts in flight before another one");
         if (request.mayHaveRun) {
             assertTrue(
                     scheduler.idempotency != Idempotency.NON_IDEMPOTENT,
                     "retry of a non-idempotent request");
             if (scheduler.idempotency == Idempotency.KEYED) {
-                assertEquals(request.boundCell, cells.get(attempt.invoker()), "cell");
+                assertEquals(
+                        request.boundCell,
+                        cells.get(attempt.invoker()),
+                        "attempt outside the deduplication cell");
                 assertTrue(
-                        scheduler.now <= request.boundAt + DEDUPLICATION_WINDOW_MICROS, "window");
+                        scheduler.now <= request.boundAt + DEDUPLICATION_WINDOW_MICROS,
+                        "attempt after the deduplication window");
             }
         }
         request.inFlight++;
         request.sentAt.add(scheduler.now);
         request.cells.add(cells.get(attempt.invoker()));
         attempts.add(new AttemptInFlight(attempt.id(), request.attempts++, attempt.invoker()));
-        assertTrue(request.attempts <= MAX_ATTEMPTS, "attempts");
+        assertTrue(request.attempts <= MAX_ATTEMPTS, "more attempts than " + MAX_ATTEMPTS);
     }
 
     private void checkRejection(TrackedRequest request) {
         boolean notRun = !request.mayHaveRun && request.inFlight == 0;
-        assertTrue(scheduler.idempotency == Idempotency.IDEMPOTENT || notRun, "rejection");
+        assertTrue(
+                scheduler.idempotency == Idempotency.IDEMPOTENT || notRun,
+                "rejection of a request that may have run");
         request.completed = true;
         request.responses++;
     }
@@ -241,21 +253,26 @@
         if (preload.instances() == 0) {
             return;
         }
-        assertEquals(EndpointState.READY, states.get(preload.invoker()), "preload on draining");
+        assertEquals(
+                EndpointState.READY,
+                states.get(preload.invoker()),
+                "preload at an invoker that is not ready");
         preloadTimes.add(scheduler.now);
         long from = scheduler.now - PRELOAD_PERIOD_MICROS;
         long sent = preloadTimes.stream().filter(at -> at >= from).count();
         long received = requestTimes.stream().filter(at -> at >= from).count();
         double allowed = FREE_PRELOADS + PRELOADS_PER_REQUEST * received + 1e-9;
-        assertTrue(scheduler.preloadPeriodMicros == 0 || sent <= allowed, "preload rate limit");
+        assertTrue(
+                scheduler.preloadPeriodMicros == 0 || sent <= allowed,
+                "preloads in one period: " + sent + ", allowed: " + allowed);
     }
 
     private void checkResponses() {
         for (TrackedRequest request : requests.values()) {
-            assertTrue(request.responses <= 1, "two responses");
+            assertTrue(request.responses <= 1, "more than one response");
             assertTrue(
                     request.completed || scheduler.now < request.deadline + RESPONSE_SLACK_MICROS,
-                    "no response in time");
+                    "no response by the deadline and its slack");
         }
         requests.values().removeIf(request -> request.completed && request.inFlight == 0);
     }
--- a/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
+++ b/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
@@ -10,7 +10,7 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** What a just started invoker is sent. */
+/** How many requests a just started invoker is sent. */
 class SlowStartBudgetTest {
     @Test
     void controllersTogetherStayWithinTheSlowStartBudgetOfAnInvoker() {
@@ -47,7 +47,9 @@
                     boolean warming = attempt.invoker().equals("new");
                     all++;
                     windows[(int) ((scheduler.now - start) / 250_000)] += warming ? 1 : 0;
-                    // The warm invoker serves each controller once a second, whatever it is sent.
+                    // The warm invoker serves one request a second of each controller, the others
+                    // are
+                    // full responses.
                     scheduler.completeAttempt(
                             i,
                             0,
@@ -65,9 +67,12 @@
             }
             most = Math.max(most, sum);
         }
-        // Together they see 150 served a second by a warm invoker: 2 x 0.62 x 150 x 2 s at the very
-        // most.
+        // The warm invoker serves 150 requests a second for all controllers. The budget is at most
+        // the overload multiple 2, times the slow-start share 0.62 after 5 s, times 150/s, times
+        // the
+        // window of 2 s.
         assertTrue(
-                most > 0 && most < 2 * 0.62 * 150 * 2, "sent within 2 s: " + most + " of " + all);
+                most > 0 && most < 2 * 0.62 * 150 * 2,
+                "attempts sent to the new invoker within 2 s (limit 371): " + most + " of " + all);
     }
 }
--- a/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
+++ b/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
@@ -10,11 +10,12 @@
 import waytrestle.scheduler.SchedulerEvent.RequestReceived;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Periodic maintenance: keep-alive renewal and its cost. */
+/** Periodic maintenance: renewal of keep-alives, and how its run time grows. */
 class StateMaintenanceTest {
     @Test
     void instanceOfAFunctionInUseIsPreloadedAgainBeforeItsKeepAliveExpires() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String known = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f");
         scheduler.completeAttempt(2, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
@@ -28,11 +29,14 @@
 
     @Test
     void maintenanceTimeDoesNotGrowWithInvokersWhenKnownInstancesStayEqual() {
-        long few = quickestMaintenanceNanos(10);
-        long many = quickestMaintenanceNanos(100);
+        long fewInvokersNanos = quickestMaintenanceNanos(10);
+        long manyInvokersNanos = quickestMaintenanceNanos(100);
         assertTrue(
-                many < 4 * few,
-                "ten times the invokers, the same instances: " + few + " and " + many + " ns");
+                manyInvokersNanos < 4 * fewInvokersNanos,
+                "nanoseconds with 10 and with 100 invokers, equal instances: "
+                        + fewInvokersNanos
+                        + " and "
+                        + manyInvokersNanos);
     }
 
     private static long quickestMaintenanceNanos(int invokers) {
