--- a/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
+++ b/src/main/java/waytrestle/scheduler/FinishTimeScheduler.java
@@ -20,8 +20,8 @@
 /**
  * The request scheduler. For each request it estimates each invoker's finish time as time in the
  * queue plus run time plus, if the function is not loaded there, load time. It sends the request to
- * the invoker with the lowest estimate, and rejects it early when even that exceeds the time left.
- * All other rules filter the candidates or correct a term of the estimate.
+ * the invoker with the lowest estimate, and rejects the request early when even that estimate
+ * exceeds the time left. All other rules filter the candidates or correct a term of the estimate.
  *
  * <p>This class receives the events, keeps count of requests and attempts, and passes each event to
  * the part that decides. In the order of a request's path the parts are {@link RequestRouter},
--- a/src/main/java/waytrestle/scheduler/InvokerSelector.java
+++ b/src/main/java/waytrestle/scheduler/InvokerSelector.java
@@ -13,7 +13,10 @@
     /** Share of the latency objective within which the costs of warm invokers count as equal. */
     private static final double WARM_TIE_SHARE = 0.15;
 
-    /** Multiple of the invokers that a function's requests would fill, among which it is spread. */
+    /**
+     * Multiple of the invokers that a function's requests would fill, among which the function is
+     * spread.
+     */
     private static final double HEADROOM = 1.5;
 
     private final SchedulerState state;
@@ -118,8 +121,8 @@
      * Returns the position, from 0, of the cold invoker to choose among the candidates in order of
      * rank. The function's share of all requests, with headroom, determines how many invokers it is
      * spread over; each controller has its own place among these, and each earlier attempt of the
-     * request narrows them by one. The square root of the number of requests is subtracted from it,
-     * so that a chance burst does not spread a rare function's instances.
+     * request narrows them by one. The square root of the function's recent requests is subtracted
+     * from their number, so that a chance burst does not spread a rare function.
      */
     private int coldPosition(RequestState request) {
         FunctionState function = request.function;
--- a/src/main/java/waytrestle/scheduler/InvokerState.java
+++ b/src/main/java/waytrestle/scheduler/InvokerState.java
@@ -39,8 +39,8 @@
     int loadingFunctions;
 
     /**
-     * When the invoker last responded, or was sent a warm attempt while it had none in flight. Its
-     * silence counts from then.
+     * When the invoker last responded, or was sent a warm attempt while no warm attempt was in
+     * flight there. The invoker's silence counts from then.
      */
     long silentSince;
 
--- a/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
+++ b/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
@@ -54,11 +54,12 @@
                                         EndpointState.READY,
                                         1,
                                         restartedAt))));
-        String to =
+        String target =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker();
         List<SchedulerCommand> commands =
-                scheduler.completeAttempt(2, 0, to, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(
+                        2, 0, target, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         assertEquals(
                 1,
                 commandsOfType(commands, ForwardAttempt.class).size(),
--- a/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
@@ -23,22 +23,23 @@
     void invokerThatFailsFastReceivesFewRequests() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
-        scheduler.completeAttempt(1, 0, bad, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
-        String good = bad.equals("a") ? "b" : "a";
+        String failingInvoker =
+                onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.completeAttempt(1, 0, failingInvoker, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
+        String healthyInvoker = failingInvoker.equals("a") ? "b" : "a";
         scheduler.now += 100_000;
-        scheduler.completeAttempt(1, 1, good, ResponseCode.OK, StartKind.WARM, 100_000);
-        int toBad = 0;
+        scheduler.completeAttempt(1, 1, healthyInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
+        int attemptsToFailing = 0;
         for (int i = 2; i < 40; i++) {
-            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
-            toBad += to.equals(bad) ? 1 : 0;
+            String target = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            attemptsToFailing += target.equals(failingInvoker) ? 1 : 0;
             scheduler.now += 100_000;
             List<SchedulerCommand> retries =
                     scheduler.completeAttempt(
                             i,
                             0,
-                            to,
-                            to.equals(bad) ? ResponseCode.ERROR : ResponseCode.OK,
+                            target,
+                            target.equals(failingInvoker) ? ResponseCode.ERROR : ResponseCode.OK,
                             StartKind.WARM,
                             100_000);
             commandsOfType(retries, ForwardAttempt.class)
@@ -52,41 +53,51 @@
                                             StartKind.WARM,
                                             100_000));
         }
-        assertTrue(toBad < 4, "attempts sent to the failing invoker (limit 3): " + toBad);
+        assertTrue(
+                attemptsToFailing < 4,
+                "attempts sent to the failing invoker (limit 3): " + attemptsToFailing);
     }
 
     @Test
     void invokerReceivesAtMostOneAttemptAtATimeAfterAFailedConnection() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String failingInvoker =
+                onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         scheduler.completeAttempt(
-                1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
+                1, 0, failingInvoker, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
         scheduler.now += 300_000;
-        int trials = 0;
+        int attemptsToPaused = 0;
         for (int i = 2; i < 12; i++) {
-            trials +=
+            attemptsToPaused +=
                     onlyCommand(scheduler.request(i, "x" + i), ForwardAttempt.class)
                                     .invoker()
-                                    .equals(bad)
+                                    .equals(failingInvoker)
                             ? 1
                             : 0;
         }
-        assertTrue(trials <= 1, "attempts sent to the paused invoker (limit 1): " + trials);
+        assertTrue(
+                attemptsToPaused <= 1,
+                "attempts sent to the paused invoker (limit 1): " + attemptsToPaused);
     }
 
     @Test
     void invokerKeepsItsInstancesAfterASingleReset() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 2_000_000);
-        scheduler.completeAttempt(2, 0, known, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
+        scheduler.completeAttempt(2, 0, warmInvoker, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
         scheduler.completeAttempt(
-                2, 1, known.equals("a") ? "b" : "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                2,
+                1,
+                warmInvoker.equals("a") ? "b" : "a",
+                ResponseCode.FULL,
+                StartKind.UNKNOWN,
+                1_000);
         scheduler.now += 5_000_000;
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker());
     }
@@ -110,10 +121,12 @@
                         .invoker();
         scheduler.completeAttempt(1, 0, first, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         scheduler.now += 4_000_000;
-        String again =
+        String secondTarget =
                 onlyCommand(scheduler.request(2, "f", 1_100_000, 900_000), ForwardAttempt.class)
                         .invoker();
-        assertFalse(again.isEmpty(), "the load answered with full must not count as one under way");
+        assertFalse(
+                secondTarget.isEmpty(),
+                "the load answered with full must not count as one under way");
     }
 
     @Test
@@ -121,12 +134,12 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.classCount = 2;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 6; i++) {
             scheduler.feed(
                     new RequestReceived(
                             i, 1, -1, "g" + i, 5_000_000, 0, 300, 2, 300_000, false, false));
-            scheduler.completeAttempt(i, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+            scheduler.completeAttempt(i, 0, warmInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
             scheduler.serveWarm(20 + i, "f");
         }
         for (int i = 30; i < 36; i++) {
@@ -141,15 +154,20 @@
                     i,
                     0,
                     attempt.invoker(),
-                    attempt.invoker().equals(known) ? ResponseCode.FULL : ResponseCode.OK,
+                    attempt.invoker().equals(warmInvoker) ? ResponseCode.FULL : ResponseCode.OK,
                     StartKind.WARM,
                     50_000);
             scheduler.completeAttempt(
-                    i, 1, known.equals("a") ? "b" : "a", ResponseCode.OK, StartKind.WARM, 100_000);
+                    i,
+                    1,
+                    warmInvoker.equals("a") ? "b" : "a",
+                    ResponseCode.OK,
+                    StartKind.WARM,
+                    100_000);
             scheduler.now += 300_000;
         }
         assertNotEquals(
-                known,
+                warmInvoker,
                 onlyCommand(
                                 scheduler.feed(
                                         new RequestReceived(
@@ -159,7 +177,7 @@
                         .invoker(),
                 "full responses there to the second class only");
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(51, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
@@ -171,12 +189,12 @@
     private static void resetSome(
             SchedulerFixture scheduler, int firstId, int requests, IntPredicate resets) {
         for (int i = firstId; i < firstId + requests; i++) {
-            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            String target = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             scheduler.now += 60_000;
             scheduler.completeAttempt(
                     i,
                     0,
-                    to,
+                    target,
                     resets.test(i) ? ResponseCode.RESET : ResponseCode.OK,
                     StartKind.WARM,
                     60_000);
@@ -237,10 +255,11 @@
         scheduler.reportsNotLoaded = reportsNotLoaded;
         scheduler.idempotency = idempotency;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 2 + requests; i++) {
             assertEquals(
-                    known, onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
+                    warmInvoker,
+                    onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
         }
         scheduler.now += silenceMicros;
         List<SchedulerCommand> commands =
@@ -251,12 +270,14 @@
                             scheduler.completeAttempt(
                                     cancel.id(),
                                     cancel.attempt(),
-                                    known,
+                                    warmInvoker,
                                     ResponseCode.CANCELLED,
                                     StartKind.UNKNOWN,
                                     silenceMicros),
                             ForwardAttempt.class);
-            assertTrue(!retry.invoker().equals(known), "retried at the silent invoker " + known);
+            assertTrue(
+                    !retry.invoker().equals(warmInvoker),
+                    "retried at the silent invoker " + warmInvoker);
         }
         return commandsOfType(commands, CancelAttempt.class);
     }
--- a/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
@@ -47,17 +47,17 @@
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first = null;
-        boolean spread = false;
+        boolean usesSecondInvoker = false;
         for (long id = 1; id <= 14; id++) {
-            String to =
+            String target =
                     onlyCommand(
                                     scheduler.request(id, "f", 5_000_000, 300_000),
                                     ForwardAttempt.class)
                             .invoker();
-            first = first == null ? to : first;
-            spread |= !to.equals(first);
+            first = first == null ? target : first;
+            usesSecondInvoker |= !target.equals(first);
         }
-        assertTrue(spread, "a long queue costs more than a load at another invoker");
+        assertTrue(usesSecondInvoker, "a long queue costs more than a load at another invoker");
     }
 
     @Test
--- a/src/test/java/waytrestle/scheduler/PreloadPlannerTest.java
+++ b/src/test/java/waytrestle/scheduler/PreloadPlannerTest.java
@@ -23,18 +23,19 @@
         scheduler.preloadPeriodMicros = 5_000_000;
         scheduler.start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"), readyInvoker("d"));
         for (int i = 1; i <= 9; i++) {
-            String to =
+            String target =
                     onlyCommand(
                                     scheduler.request(i, "f" + i, 4_000_000, 500_000),
                                     ForwardAttempt.class)
                             .invoker();
-            scheduler.completeAttempt(i, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+            scheduler.completeAttempt(
+                    i, 0, target, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         }
         assertEquals(1, commandsOfType(scheduler.commands, PreloadFunction.class).size());
-        String to =
+        String target =
                 onlyCommand(scheduler.request(10, "f10", 4_000_000, 500_000), ForwardAttempt.class)
                         .invoker();
-        scheduler.completeAttempt(10, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        scheduler.completeAttempt(10, 0, target, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         assertEquals(
                 2,
                 commandsOfType(scheduler.commands, PreloadFunction.class).size(),
@@ -46,27 +47,28 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String target = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         PreloadFunction preload =
                 onlyCommand(
                         scheduler.completeAttempt(
-                                1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000),
+                                1, 0, target, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000),
                         PreloadFunction.class);
-        assertEquals(to, preload.invoker());
+        assertEquals(target, preload.invoker());
         List<SchedulerCommand> commands =
-                scheduler.feed(new PreloadCompleted(to, "f", ResponseCode.RESET, 5_000, 0));
-        assertEquals(to, onlyCommand(commands, PreloadFunction.class).invoker());
+                scheduler.feed(new PreloadCompleted(target, "f", ResponseCode.RESET, 5_000, 0));
+        assertEquals(target, onlyCommand(commands, PreloadFunction.class).invoker());
         int preloads = 1;
         for (;
                 preloads < 100 && commandsOfType(commands, PreloadFunction.class).size() == 1;
                 preloads++) {
-            commands = scheduler.feed(new PreloadCompleted(to, "f", ResponseCode.RESET, 5_000, 0));
+            commands =
+                    scheduler.feed(new PreloadCompleted(target, "f", ResponseCode.RESET, 5_000, 0));
         }
         assertTrue(preloads < 10, "preloads in a row (limit 9): " + preloads);
         scheduler.now += 10_000_000;
         commands =
                 scheduler.feed(
-                        new PreloadCompleted(to, "f", ResponseCode.CONNECT_FAILED, 5_000, 0));
+                        new PreloadCompleted(target, "f", ResponseCode.CONNECT_FAILED, 5_000, 0));
         assertTrue(
                 commandsOfType(commands, PreloadFunction.class).isEmpty(),
                 "no retry at a process that has ended");
--- a/src/test/java/waytrestle/scheduler/RequestRouterTest.java
+++ b/src/test/java/waytrestle/scheduler/RequestRouterTest.java
@@ -27,8 +27,9 @@
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         for (int i = 100; i < 120; i++) {
-            String to = onlyCommand(scheduler.request(i, "g" + i), ForwardAttempt.class).invoker();
-            scheduler.completeAttempt(i, 0, to, ResponseCode.OK, StartKind.COLD, 600_000);
+            String target =
+                    onlyCommand(scheduler.request(i, "g" + i), ForwardAttempt.class).invoker();
+            scheduler.completeAttempt(i, 0, target, ResponseCode.OK, StartKind.COLD, 600_000);
         }
         List<SchedulerCommand> commands = scheduler.request(1, "f", 1_000_000, 4_000_000);
         assertEquals(1_000_000, onlyCommand(commands, RejectRequest.class).retryAfterMicros());
@@ -36,10 +37,13 @@
                 1,
                 onlyCommand(commands, PreloadFunction.class).instances(),
                 "without a preload, a function that loads slowly would be rejected forever");
-        SchedulerFixture fits = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture enoughTime =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         assertEquals(
                 1,
-                commandsOfType(fits.request(2, "f", 4_500_000, 4_000_000), ForwardAttempt.class)
+                commandsOfType(
+                                enoughTime.request(2, "f", 4_500_000, 4_000_000),
+                                ForwardAttempt.class)
                         .size());
     }
 
@@ -82,19 +86,20 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = true;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String to =
+        String target =
                 onlyCommand(scheduler.request(1, "f", 4_000_000, 500_000), ForwardAttempt.class)
                         .invoker();
         List<SchedulerCommand> afterNotLoaded =
                 scheduler.completeAttempt(
-                        1, 0, to, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
-        assertEquals(to, onlyCommand(afterNotLoaded, PreloadFunction.class).invoker());
-        String next = onlyCommand(afterNotLoaded, ForwardAttempt.class).invoker();
-        assertNotEquals(to, next, "another invoker may hold an instance");
-        scheduler.completeAttempt(1, 1, next, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+                        1, 0, target, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
+        assertEquals(target, onlyCommand(afterNotLoaded, PreloadFunction.class).invoker());
+        String secondTarget = onlyCommand(afterNotLoaded, ForwardAttempt.class).invoker();
+        assertNotEquals(target, secondTarget, "another invoker may hold an instance");
+        scheduler.completeAttempt(
+                1, 1, secondTarget, ResponseCode.NOT_LOADED, StartKind.UNKNOWN, 1_000);
         scheduler.now += 20_000;
         assertEquals(
-                to,
+                target,
                 onlyCommand(
                                 scheduler.feed(
                                         new TimerExpired(new SchedulerTimer.QueuedRequestRetry(1))),
@@ -109,14 +114,14 @@
         scheduler.reportsNotLoaded = true;
         scheduler.acceptsPreloads = false;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String target = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         assertNotEquals(
-                to,
+                target,
                 onlyCommand(
                                 scheduler.completeAttempt(
                                         1,
                                         0,
-                                        to,
+                                        target,
                                         ResponseCode.NOT_LOADED,
                                         StartKind.UNKNOWN,
                                         1_000),
@@ -229,12 +234,13 @@
     void fullResponseFromAWarmInvokerRetriesElsewhere() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 300_000);
         List<SchedulerCommand> commands =
-                scheduler.completeAttempt(2, 0, known, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(
+                        2, 0, warmInvoker, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         assertNotEquals(
-                known,
+                warmInvoker,
                 onlyCommand(commands, ForwardAttempt.class).invoker(),
                 "the invoker may stay full for the class");
     }
--- a/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
+++ b/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
@@ -20,14 +20,14 @@
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
-        String known =
+        String warmInvoker =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
                         2,
                         0,
-                        known,
+                        warmInvoker,
                         ResponseCode.OK,
                         true,
                         100_000,
@@ -35,7 +35,7 @@
                         -1,
                         Map.of("queue", 60.0)));
         assertNotEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
@@ -45,14 +45,14 @@
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
-        String known =
+        String warmInvoker =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
                         2,
                         0,
-                        known,
+                        warmInvoker,
                         ResponseCode.OK,
                         true,
                         100_000,
@@ -60,7 +60,7 @@
                         -1,
                         Map.of("queue", 900.0, "x1", 900.0)));
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
@@ -70,13 +70,13 @@
         for (long ageMicros : new long[] {0, 8_000_000}) {
             SchedulerFixture scheduler =
                     new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-            String known = scheduler.serveWarm(1, "f");
+            String warmInvoker = scheduler.serveWarm(1, "f");
             scheduler.request(2, "f", 5_000_000, 300_000);
             scheduler.feed(
                     new AttemptCompleted(
                             2,
                             0,
-                            known,
+                            warmInvoker,
                             ResponseCode.OK,
                             true,
                             100_000,
@@ -84,11 +84,13 @@
                             -1,
                             Map.of("queue", 60.0)));
             scheduler.now += ageMicros;
-            String to =
+            String target =
                     onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                             .invoker();
             assertEquals(
-                    ageMicros > 0, known.equals(to), "report age in microseconds: " + ageMicros);
+                    ageMicros > 0,
+                    warmInvoker.equals(target),
+                    "report age in microseconds: " + ageMicros);
         }
     }
 
--- a/src/test/java/waytrestle/scheduler/RetryRulesTest.java
+++ b/src/test/java/waytrestle/scheduler/RetryRulesTest.java
@@ -27,12 +27,12 @@
             SchedulerFixture scheduler = new SchedulerFixture();
             scheduler.idempotency = idempotency;
             scheduler.start(readyInvoker("a"), readyInvoker("b"));
-            String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+            String target = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
             assertNotEquals(
-                    to,
+                    target,
                     onlyCommand(
                                     scheduler.completeAttempt(
-                                            1, 0, to, code, StartKind.UNKNOWN, 1_000),
+                                            1, 0, target, code, StartKind.UNKNOWN, 1_000),
                                     ForwardAttempt.class)
                             .invoker());
         }
@@ -46,9 +46,9 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.idempotency = Idempotency.NON_IDEMPOTENT;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String target = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         List<SchedulerCommand> commands =
-                scheduler.completeAttempt(1, 0, to, code, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(1, 0, target, code, StartKind.UNKNOWN, 1_000);
         assertEquals(1, commandsOfType(commands, FailRequest.class).size());
         assertTrue(
                 commandsOfType(commands, ForwardAttempt.class).isEmpty()
@@ -65,21 +65,21 @@
                 new InvokerEndpoint("c", 0, 1, 0, EndpointState.READY, 1, 0),
                 new InvokerEndpoint("d", 0, 2, 0, EndpointState.READY, 1, 0));
         Map<String, String> otherOfCell = Map.of("a", "c", "c", "a", "b", "d", "d", "b");
-        String to = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String target = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         assertEquals(
-                otherOfCell.get(to),
+                otherOfCell.get(target),
                 onlyCommand(
                                 scheduler.completeAttempt(
-                                        1, 0, to, ResponseCode.ERROR, StartKind.UNKNOWN, 1_000),
+                                        1, 0, target, ResponseCode.ERROR, StartKind.UNKNOWN, 1_000),
                                 ForwardAttempt.class)
                         .invoker());
-        String late =
+        String secondTarget =
                 onlyCommand(scheduler.request(2, "g", 5_000_000, 0), ForwardAttempt.class)
                         .invoker();
         scheduler.now += 3_000_000;
         List<SchedulerCommand> commands =
                 scheduler.completeAttempt(
-                        2, 0, late, ResponseCode.ERROR, StartKind.UNKNOWN, 3_000_000);
+                        2, 0, secondTarget, ResponseCode.ERROR, StartKind.UNKNOWN, 3_000_000);
         assertEquals(
                 1,
                 commandsOfType(commands, FailRequest.class).size(),
--- a/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
+++ b/src/test/java/waytrestle/scheduler/SlowStartBudgetTest.java
@@ -14,16 +14,16 @@
 class SlowStartBudgetTest {
     @Test
     void controllersTogetherStayWithinTheSlowStartBudgetOfAnInvoker() {
-        int most = 0;
-        int all = 0;
-        int[] windows = new int[40];
-        for (int index = 0; index < 150; index++) {
+        int mostPerWindow = 0;
+        int sentInTotal = 0;
+        int[] sentPerQuarterSecond = new int[40];
+        for (int controller = 0; controller < 150; controller++) {
             SchedulerFixture scheduler = new SchedulerFixture();
             scheduler.controllerCount = 150;
             scheduler.start(
                     readyInvoker("warm"),
                     new InvokerEndpoint("new", 0, 0, 0, EndpointState.READY, 1, scheduler.now));
-            scheduler.scheduler = new FinishTimeScheduler(scheduler.settings(), 1_000 + index);
+            scheduler.scheduler = new FinishTimeScheduler(scheduler.settings(), 1_000 + controller);
             scheduler.feed(
                     new EndpointsUpdated(
                             true,
@@ -44,9 +44,10 @@
                 scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
                 for (ForwardAttempt attempt :
                         commandsOfType(scheduler.request(i, "f" + i), ForwardAttempt.class)) {
-                    boolean warming = attempt.invoker().equals("new");
-                    all++;
-                    windows[(int) ((scheduler.now - start) / 250_000)] += warming ? 1 : 0;
+                    boolean toNewInvoker = attempt.invoker().equals("new");
+                    sentInTotal++;
+                    sentPerQuarterSecond[(int) ((scheduler.now - start) / 250_000)] +=
+                            toNewInvoker ? 1 : 0;
                     // The warm invoker serves one request a second of each controller, the others
                     // are
                     // full responses.
@@ -54,25 +55,28 @@
                             i,
                             0,
                             attempt.invoker(),
-                            i % 40 == 0 && !warming ? ResponseCode.OK : ResponseCode.FULL,
+                            i % 40 == 0 && !toNewInvoker ? ResponseCode.OK : ResponseCode.FULL,
                             StartKind.WARM,
                             1_000);
                 }
             }
         }
-        for (int from = 0; from + 8 <= windows.length; from++) {
-            int sum = 0;
+        for (int from = 0; from + 8 <= sentPerQuarterSecond.length; from++) {
+            int sentInWindow = 0;
             for (int w = from; w < from + 8; w++) {
-                sum += windows[w];
+                sentInWindow += sentPerQuarterSecond[w];
             }
-            most = Math.max(most, sum);
+            mostPerWindow = Math.max(mostPerWindow, sentInWindow);
         }
         // The warm invoker serves 150 requests a second for all controllers. The budget is at most
         // the overload multiple 2, times the slow-start share 0.62 after 5 s, times 150/s, times
         // the
         // window of 2 s.
         assertTrue(
-                most > 0 && most < 2 * 0.62 * 150 * 2,
-                "attempts sent to the new invoker within 2 s (limit 371): " + most + " of " + all);
+                mostPerWindow > 0 && mostPerWindow < 2 * 0.62 * 150 * 2,
+                "attempts sent to the new invoker within 2 s (limit 371): "
+                        + mostPerWindow
+                        + " of "
+                        + sentInTotal);
     }
 }
--- a/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
+++ b/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
@@ -16,15 +16,15 @@
     void instanceOfAFunctionInUseIsPreloadedAgainBeforeItsKeepAliveExpires() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f");
-        scheduler.completeAttempt(2, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+        scheduler.completeAttempt(2, 0, warmInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 8_000_000;
         PreloadFunction preload =
                 onlyCommand(
                         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance())),
                         PreloadFunction.class);
-        assertEquals(new PreloadFunction(known, "f", 1), preload);
+        assertEquals(new PreloadFunction(warmInvoker, "f", 1), preload);
     }
 
     @Test
@@ -51,12 +51,12 @@
                     new RequestReceived(
                             i, 0, -1, "f" + i % 1_500, 3_000_000, 0, 300, 2, 0, false, false));
         }
-        long quickest = Long.MAX_VALUE;
+        long quickestNanos = Long.MAX_VALUE;
         for (int i = 0; i < 300; i++) {
             long start = System.nanoTime();
             scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
-            quickest = Math.min(quickest, System.nanoTime() - start);
+            quickestNanos = Math.min(quickestNanos, System.nanoTime() - start);
         }
-        return quickest;
+        return quickestNanos;
     }
 }
