--- a/src/main/java/waytrestle/access/AccessLine.java
+++ b/src/main/java/waytrestle/access/AccessLine.java
@@ -25,7 +25,7 @@
         String tenant,
         String requestClass,
         String function,
-        List<Tried> attempts,
+        List<AttemptEntry> attempts,
         String outcome,
         String reason,
         long durationMicros) {
@@ -41,7 +41,8 @@
      * @param estimateMicros finish time that was estimated when the invoker was chosen; negative
      *     where there was no estimate
      */
-    public record Tried(String invoker, String response, long durationMicros, long estimateMicros) {
+    public record AttemptEntry(
+            String invoker, String response, long durationMicros, long estimateMicros) {
         boolean hasEstimate() {
             return estimateMicros >= 0;
         }
--- a/src/main/java/waytrestle/access/AccessLineJson.java
+++ b/src/main/java/waytrestle/access/AccessLineJson.java
@@ -40,14 +40,14 @@
         writeUnlessEmpty(json, "reason", line.reason());
         json.writeNumberField("took_us", line.durationMicros());
         json.writeArrayFieldStart("attempts");
-        for (AccessLine.Tried attempt : line.attempts()) {
+        for (AccessLine.AttemptEntry attempt : line.attempts()) {
             writeAttempt(json, attempt);
         }
         json.writeEndArray();
         json.writeEndObject();
     }
 
-    private static void writeAttempt(JsonGenerator json, AccessLine.Tried attempt)
+    private static void writeAttempt(JsonGenerator json, AccessLine.AttemptEntry attempt)
             throws IOException {
         json.writeStartObject();
         json.writeStringField("invoker", attempt.invoker());
--- a/src/main/java/waytrestle/access/AccessLog.java
+++ b/src/main/java/waytrestle/access/AccessLog.java
@@ -9,7 +9,7 @@
     AccessLog OFF =
             new AccessLog() {
                 @Override
-                public boolean takes(String id) {
+                public boolean shouldLog(String id) {
                     return false;
                 }
 
@@ -18,7 +18,7 @@
             };
 
     /** Whether a request of this id is logged; the id is empty where the request has none. */
-    boolean takes(String id);
+    boolean shouldLog(String id);
 
     /** Logs an ended request, or drops it where the log cannot keep up. */
     void write(AccessLine line);
--- a/src/main/java/waytrestle/access/FileAccessLog.java
+++ b/src/main/java/waytrestle/access/FileAccessLog.java
@@ -95,7 +95,7 @@
      * then all logged or none.
      */
     @Override
-    public boolean takes(String id) {
+    public boolean shouldLog(String id) {
         if (sampledFraction >= 1) {
             return true;
         }
@@ -119,12 +119,12 @@
     }
 
     /** Lines handed to the file since the start. */
-    public long written() {
+    public long writtenLines() {
         return written.get();
     }
 
     /** Lines lost since the start because the queue was full or the disk failed. */
-    public long dropped() {
+    public long droppedLines() {
         return dropped.get();
     }
 
--- a/src/main/java/waytrestle/controller/Attempt.java
+++ b/src/main/java/waytrestle/controller/Attempt.java
@@ -74,8 +74,8 @@
     }
 
     @Override
-    public ExchangeResult.Kind withdrawal() {
-        return completionHandler.withdrawal(this);
+    public ExchangeResult.Kind checkBeforeSend() {
+        return completionHandler.checkBeforeSend(this);
     }
 
     @Override
@@ -85,7 +85,7 @@
 
     void recordResult(AttemptResult attemptResult, long nowMicros) {
         result = attemptResult;
-        exchangeResult = attemptResult.result();
+        exchangeResult = attemptResult.exchangeResult();
         completedAtMicros = nowMicros;
     }
 
--- a/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
+++ b/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
@@ -35,7 +35,7 @@
     private final AdmissionControl admission;
     private final ControllerListener listener;
     private final SendGuard sendGuard;
-    private final WorkReadiness readiness;
+    private final InvokerReadiness readiness;
     private final List<RequestClass> requestClasses;
 
     AttemptCompletionHandler(
@@ -46,7 +46,7 @@
             ControllerDependencies dependencies,
             ControllerListener listener,
             SendGuard sendGuard,
-            WorkReadiness readiness) {
+            InvokerReadiness readiness) {
         this.transport = transport;
         this.dispatcher = dispatcher;
         this.openRequests = openRequests;
@@ -60,12 +60,12 @@
 
     /** An attempt has ended: the classifier says what that means. */
     void completed(Attempt attempt, AttemptResult result) {
-        attempt.recordResult(result, transport.now());
+        attempt.recordResult(result, transport.nowMicros());
         dispatcher.notifyClassifier(
                 new ClassifierEvent.AttemptCompleted(
                         attempt.request().id(),
                         attempt.number(),
-                        result.result(),
+                        result.exchangeResult(),
                         loadReport(result.metrics())));
         attempt.releaseResult();
         dispatcher.runScheduler();
@@ -80,7 +80,7 @@
      * up late, or the event loop been busy: nothing is started for a client that has disconnected,
      * even where attempts are not cancelled, nor at an invoker that stopped being ready meanwhile.
      */
-    ExchangeResult.Kind withdrawal(Attempt attempt) {
+    ExchangeResult.Kind checkBeforeSend(Attempt attempt) {
         OpenRequest request = attempt.request();
         // Guards against a repeat that is not run although the request never was: its client may be
         // found to have left right here, before anything was written.
@@ -89,7 +89,7 @@
         request.firstClient().checkConnected();
         SendGuard.Refusal refusal = sendGuard.checkSend(request.sendHistory(), intent(attempt));
         if (refusal == null) {
-            readiness.sent(ControllerListener.WorkKind.ATTEMPT);
+            readiness.recordSent(ControllerListener.WorkKind.ATTEMPT);
             dispatcher.notifyPendingRequests(
                     new PendingRequests.AttemptSent(request.id(), attempt.number()));
             return null;
@@ -107,8 +107,8 @@
     }
 
     private SendGuard.SendIntent intent(Attempt attempt) {
-        WorkReadiness.Readiness known =
-                readiness.of(attempt.invoker(), attempt.plan().invokerWasReady());
+        InvokerReadiness.Readiness known =
+                readiness.check(attempt.invoker(), attempt.plan().invokerWasReady());
         InvokerEndpoint endpoint = connections.endpoint(attempt.invoker());
         int requestClass = attempt.request().incoming().requestClass();
         return new SendGuard.SendIntent(
@@ -117,9 +117,9 @@
                 endpoint == null ? NOT_LISTED : endpoint.zone(),
                 endpoint == null ? NOT_LISTED : endpoint.cell(),
                 !attempt.request().isCompleted(),
-                known.ready(),
-                known.known(),
-                transport.now());
+                known.stillReady(),
+                known.recentlyConfirmed(),
+                transport.nowMicros());
     }
 
     /** The classifier has classified an end: the pending requests hear it before the scheduler. */
@@ -131,7 +131,7 @@
         attempt.setCode(classification.code());
         request.sendHistory().recordEnd(attempt.number(), classification.code());
         recordWarmResponse(attempt, command.loadReport().start());
-        listener.attemptEnded(
+        listener.requestAttemptCompleted(
                 request.incoming(), attempt.number(), attempt.invoker(), attempt.code());
         listener.attemptCompleted(
                 attempt.code(),
@@ -173,8 +173,8 @@
     /** The result or the error of the function itself, or null where it did not respond. */
     private static RequestOutcome functionOutcome(Attempt attempt, Classification classification) {
         AttemptResult result = attempt.result();
-        if (result.served() != null) {
-            return result.served();
+        if (result.functionResponse() != null) {
+            return result.functionResponse();
         }
         if (!classification.functionError()) {
             return null;
--- a/src/main/java/waytrestle/controller/AttemptSender.java
+++ b/src/main/java/waytrestle/controller/AttemptSender.java
@@ -48,17 +48,17 @@
     }
 
     /** Creates an attempt as the scheduler decided; the classifier says whether it is sent. */
-    void request(SchedulerCommand.ForwardAttempt command) {
+    void requestAttempt(SchedulerCommand.ForwardAttempt command) {
         OpenRequest request = openRequests.find(command.id());
         if (request == null) {
-            listener.message("attempt.request_unknown request=" + command.id());
+            listener.logMessage("attempt.request_unknown request=" + command.id());
             return;
         }
         Attempt attempt = create(request, command);
         request.addAttempt(attempt);
         if (isPointless(attempt)) {
             withhold(attempt);
-        } else if (!connections.isConnected(attempt.invoker())) {
+        } else if (!connections.hasClient(attempt.invoker())) {
             completeLater(attempt, ExchangeResult.Kind.NOT_CONNECTED);
         } else {
             dispatcher.notifyClassifier(
@@ -72,7 +72,7 @@
                 new Attempt.Plan(
                         request.attempts().size(),
                         command.invoker(),
-                        transport.now(),
+                        transport.nowMicros(),
                         giveUpAtMicros(request, command),
                         scheduler.estimateMicros(),
                         connections.isReadyToScheduler(command.invoker()));
@@ -89,7 +89,7 @@
     }
 
     private boolean isPointless(Attempt attempt) {
-        long now = transport.now();
+        long now = transport.nowMicros();
         return attempt.request().isCompleted()
                 || now >= attempt.plan().giveUpAtMicros()
                 || attempt.number() >= settings.limits().maxAttempts()
@@ -113,12 +113,12 @@
                 new PendingRequests.AttemptForwarded(request.id(), attempt.number()));
         Runnable cancellation =
                 connections
-                        .find(attempt.invoker())
+                        .findClient(attempt.invoker())
                         .sendAttempt(
                                 request.incoming(),
                                 forwardedId(request),
                                 attempt.number(),
-                                attempt.plan().giveUpAtMicros() - transport.now(),
+                                attempt.plan().giveUpAtMicros() - transport.nowMicros(),
                                 attempt);
         attempt.setCancellation(cancellation);
     }
--- a/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
+++ b/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
@@ -39,7 +39,7 @@
     void execute(ClassifierCommand command) {
         if (command instanceof ClassifierCommand.AdmitRequest admit) {
             admitRequest(admit);
-        } else if (command instanceof ClassifierCommand.RejectFast reject) {
+        } else if (command instanceof ClassifierCommand.RejectRequest reject) {
             rejectFast(reject);
         } else if (command instanceof ClassifierCommand.ForwardAttempt forward) {
             attemptSender.forward(forward);
@@ -57,7 +57,7 @@
             listener.invokerEjected(ejection.invoker(), ejection.durationMicros());
         } else if (command instanceof ClassifierCommand.ReportReadmission readmission) {
             listener.invokerReadmitted(readmission.invoker());
-        } else if (command instanceof ClassifierCommand.WarnOfCapability warning) {
+        } else if (command instanceof ClassifierCommand.WarnOfMissingCapability warning) {
             listener.capabilityWarning(warning);
         }
     }
@@ -72,7 +72,7 @@
                         incoming.requestClass(),
                         incoming.tenant(),
                         incoming.function(),
-                        request.deadlineMicros() - transport.now(),
+                        request.deadlineMicros() - transport.nowMicros(),
                         hints.workMicros(),
                         hints.memoryMb(),
                         command.concurrencyPerInstance(),
@@ -81,11 +81,11 @@
                         false));
     }
 
-    private void rejectFast(ClassifierCommand.RejectFast command) {
+    private void rejectFast(ClassifierCommand.RejectRequest command) {
         dispatcher.notifyPendingRequests(
                 new PendingRequests.CircuitRejectedRequest(
                         command.requestId(),
-                        command.lastResult().text(),
+                        command.lastFailureResult().text(),
                         command.retryAfterMicros()));
         openRequests.complete(command.requestId());
     }
--- a/src/main/java/waytrestle/controller/Controller.java
+++ b/src/main/java/waytrestle/controller/Controller.java
@@ -41,7 +41,7 @@
     private final OpenRequests openRequests;
     private final WaitingClients waitingClients;
     private final InvokerConnections connections;
-    private final ListExpiry listExpiry;
+    private final EndpointListExpiry listExpiry;
 
     /**
      * Creates a controller without invokers; it gets them by {@link #endpointsUpdated}.
@@ -60,7 +60,8 @@
         this.classifier = dependencies.classifier();
         this.dispatcher = new EventDispatcher(transport, wallClock, dependencies);
         this.openRequests = new OpenRequests(dispatcher);
-        this.listExpiry = new ListExpiry(dependencies.settings().rules().drainGraceMicros());
+        this.listExpiry =
+                new EndpointListExpiry(dependencies.settings().rules().drainGraceMicros());
         this.connections = new InvokerConnections(transport, dispatcher, listener);
         RequestAccessLogger accessLogger =
                 new RequestAccessLogger(transport, wallClock, dependencies.settings(), accessLog);
@@ -80,7 +81,7 @@
             ControllerListener listener,
             ControllerEnvironment environment) {
         StartupPreloadLimit preloadLimit = startupPreloadLimit(transport, dependencies.settings());
-        WorkReadiness readiness = readiness(transport, dependencies, listener, environment);
+        InvokerReadiness readiness = readiness(transport, dependencies, listener, environment);
         AttemptCompletionHandler completionHandler =
                 completionHandler(transport, dependencies, listener, readiness);
         AttemptSender attemptSender =
@@ -128,20 +129,20 @@
                         operations,
                         listener,
                         environment);
-        dispatcher.connect(
+        dispatcher.setHandlers(
                 pendingRequestsCommands::execute,
                 classifierCommands::execute,
                 schedulerCommands::execute,
                 failureHandler(transport, dependencies, listener, environment),
-                connections::schedulerNotified);
+                connections::schedulerHandledUpdate);
     }
 
-    private WorkReadiness readiness(
+    private InvokerReadiness readiness(
             Transport transport,
             ControllerDependencies dependencies,
             ControllerListener listener,
             ControllerEnvironment environment) {
-        return new WorkReadiness(
+        return new InvokerReadiness(
                 transport,
                 environment,
                 connections,
@@ -154,7 +155,7 @@
             Transport transport,
             ControllerDependencies dependencies,
             ControllerListener listener,
-            WorkReadiness readiness) {
+            InvokerReadiness readiness) {
         return new AttemptCompletionHandler(
                 transport,
                 dispatcher,
@@ -184,7 +185,9 @@
             Transport transport, SchedulerSettings settings) {
         Preloading preloading = settings.preloading();
         return new StartupPreloadLimit(
-                transport.now(), preloading.preloadPeriodMicros(), preloading.preloadsPerRequest());
+                transport.nowMicros(),
+                preloading.preloadPeriodMicros(),
+                preloading.preloadsPerRequest());
     }
 
     @Override
@@ -226,7 +229,7 @@
      * @param catchingUp whether what is missing is being delivered
      */
     public void listFreshnessChanged(long receivedAtMicros, boolean catchingUp) {
-        listExpiry.receivedAt(receivedAtMicros);
+        listExpiry.setReceivedAt(receivedAtMicros);
         dispatcher.dispatchToScheduler(
                 new SchedulerEvent.ListFreshnessChanged(receivedAtMicros, catchingUp));
     }
@@ -265,17 +268,17 @@
     }
 
     /** Invokers that are listed as ready. */
-    public int readyInvokers() {
+    public int readyInvokerCount() {
         return connections.readyCount();
     }
 
     /** Invokers that there is a client for. */
-    public int invokerClients() {
+    public int invokerClientCount() {
         return connections.clientCount();
     }
 
     /** Open connections to all invokers. */
-    public int connections() {
+    public int openConnections() {
         return connections.openConnections();
     }
 }
--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -36,7 +36,7 @@
      *
      * @param attempt its number within the request
      */
-    default void attemptEnded(
+    default void requestAttemptCompleted(
             IncomingRequest request, int attempt, String invoker, ResponseCode code) {}
 
     /**
@@ -75,7 +75,7 @@
     default void healthCheckCompleted(String invoker, ResponseCode code) {}
 
     /** A preload request has passed the limit that holds after a start. */
-    default void preloadSent() {}
+    default void preloadAdmitted() {}
 
     /** An invoker is ejected as an outlier for this time. */
     default void invokerEjected(String invoker, long micros) {}
@@ -84,7 +84,7 @@
     default void invokerReadmitted(String invoker) {}
 
     /** An invoker breaks or never reports a capability that the settings declare. */
-    default void capabilityWarning(ClassifierCommand.WarnOfCapability warning) {}
+    default void capabilityWarning(ClassifierCommand.WarnOfMissingCapability warning) {}
 
     /** An invoker is gone; nothing of it needs to be kept. */
     default void invokerRemoved(String invoker) {}
@@ -99,5 +99,5 @@
             SchedulerEvent event, Collection<SchedulerEvent> recentEvents, Throwable cause);
 
     /** A line for the log. */
-    void message(String text);
+    void logMessage(String text);
 }
--- a/src/main/java/waytrestle/controller/ListExpiry.java
+++ b/src/main/java/waytrestle/controller/EndpointListExpiry.java
@@ -6,16 +6,16 @@
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
-final class ListExpiry {
+final class EndpointListExpiry {
     private final long drainGraceMicros;
     private long receivedAtMicros = Long.MAX_VALUE;
 
-    ListExpiry(long drainGraceMicros) {
+    EndpointListExpiry(long drainGraceMicros) {
         this.drainGraceMicros = drainGraceMicros;
     }
 
     /** Sets when all that service discovery holds counts as received; MAX_VALUE while it does. */
-    void receivedAt(long micros) {
+    void setReceivedAt(long micros) {
         receivedAtMicros = micros;
     }
 
--- a/src/main/java/waytrestle/controller/EventDispatcher.java
+++ b/src/main/java/waytrestle/controller/EventDispatcher.java
@@ -48,7 +48,7 @@
     }
 
     /** Sets who carries out commands and handles failures; once, before the first event. */
-    void connect(
+    void setHandlers(
             Consumer<PendingRequests.Command> pendingRequestsCommands,
             Consumer<ClassifierCommand> classifierCommands,
             Consumer<SchedulerCommand> schedulerCommands,
@@ -56,8 +56,8 @@
             Runnable endpointsListener) {
         this.pendingRequestsCommandHandler = pendingRequestsCommands::accept;
         this.classifierCommandHandler = classifierCommands;
-        schedulerLoop.connect(schedulerCommands, failureHandler);
-        schedulerLoop.onEndpointsHandled(endpointsListener);
+        schedulerLoop.setHandlers(schedulerCommands, failureHandler);
+        schedulerLoop.setEndpointsHandledListener(endpointsListener);
     }
 
     /** Delivers an event to the pending requests, then lets the scheduler handle its queue. */
@@ -81,13 +81,13 @@
     /** Delivers an event to the pending requests alone. */
     void notifyPendingRequests(PendingRequests.Event event) {
         pendingRequests.handle(
-                transport.now(), wallClock.seconds(), event, pendingRequestsCommandHandler);
+                transport.nowMicros(), wallClock.seconds(), event, pendingRequestsCommandHandler);
     }
 
     /** Delivers an event to the classifier alone. */
     void notifyClassifier(ClassifierEvent event) {
         List<ClassifierCommand> commands = new ArrayList<>(USUAL_CLASSIFIER_COMMANDS);
-        classifier.handle(transport.now(), event, commands::add);
+        classifier.handle(transport.nowMicros(), event, commands::add);
         for (int i = 0; i < commands.size(); i++) {
             classifierCommandHandler.accept(commands.get(i));
         }
--- a/src/main/java/waytrestle/controller/FailureThreshold.java
+++ b/src/main/java/waytrestle/controller/FailureThreshold.java
@@ -28,7 +28,7 @@
     }
 
     /** Counts a failure; true when the process should stop. */
-    public boolean exceededBy(long nowMicros) {
+    public boolean recordFailure(long nowMicros) {
         failureTimes.add(nowMicros);
         while (failureTimes.peek() < nowMicros - windowMicros) {
             failureTimes.poll();
--- a/src/main/java/waytrestle/controller/InvokerClient.java
+++ b/src/main/java/waytrestle/controller/InvokerClient.java
@@ -43,7 +43,7 @@
     void close();
 
     /** Open connections. */
-    int connections();
+    int openConnections();
 
     /**
      * Since when there has been a connection to the invoker at all times: when the oldest one that
@@ -60,12 +60,12 @@
          * further try while nothing has been written: how the exchange ends instead, or null to
          * send it. What was never asked for counts as not sent.
          */
-        default ExchangeResult.Kind withdrawal() {
+        default ExchangeResult.Kind checkBeforeSend() {
             return null;
         }
 
         /**
-         * It was sent so long after {@link #withdrawal} had allowed it, since the process was
+         * It was sent so long after {@link #checkBeforeSend} had allowed it, since the process was
          * stopped between the two.
          */
         default void sendDelayed(long micros) {}
--- a/src/main/java/waytrestle/controller/InvokerConnections.java
+++ b/src/main/java/waytrestle/controller/InvokerConnections.java
@@ -35,11 +35,11 @@
     }
 
     /** The client of an invoker, or null where the invoker is not listed. */
-    InvokerClient find(String invoker) {
+    InvokerClient findClient(String invoker) {
         return clients.get(invoker);
     }
 
-    boolean isConnected(String invoker) {
+    boolean hasClient(String invoker) {
         return clients.containsKey(invoker);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** The scheduler has heard of an update. */
-    void schedulerNotified() {
+    void schedulerHandledUpdate() {
         updatesBeforeScheduler = Math.max(0, updatesBeforeScheduler - 1);
         if (updatesBeforeScheduler == 0) {
             leavingInvokers.clear();
@@ -69,7 +69,7 @@
     }
 
     int openConnections() {
-        return clients.values().stream().mapToInt(InvokerClient::connections).sum();
+        return clients.values().stream().mapToInt(InvokerClient::openConnections).sum();
     }
 
     /** The last entry of the endpoint list for an invoker, or null where it is not listed. */
@@ -83,7 +83,7 @@
      *
      * @param wasReady whether the invoker was ready at the decision
      */
-    boolean mayStillGet(String invoker, boolean wasReady) {
+    boolean isStillEligible(String invoker, boolean wasReady) {
         return !wasReady || isReady(invoker);
     }
 
@@ -125,7 +125,7 @@
             clients.computeIfAbsent(endpoint.id(), this::connect);
         }
         if (endpoint.state() != EndpointState.READY) {
-            listener.message(
+            listener.logMessage(
                     "invoker.state_reported invoker="
                             + endpoint.id()
                             + " state="
@@ -134,7 +134,7 @@
     }
 
     private InvokerClient connect(String invoker) {
-        return transport.connect(
+        return transport.openClient(
                 invoker,
                 () ->
                         dispatcher.dispatchToClassifier(
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -29,7 +29,7 @@
     private final EventDispatcher dispatcher;
     private final InvokerConnections connections;
     private final StartupPreloadLimit startupPreloadLimit;
-    private final WorkReadiness readiness;
+    private final InvokerReadiness readiness;
     private final SendGuard sendGuard;
     private final ControllerListener listener;
 
@@ -39,7 +39,7 @@
             EventDispatcher dispatcher,
             InvokerConnections connections,
             StartupPreloadLimit startupPreloadLimit,
-            WorkReadiness readiness,
+            InvokerReadiness readiness,
             SendGuard sendGuard,
             ControllerListener listener) {
         this.transport = transport;
@@ -56,12 +56,12 @@
 
     /** Sends a preload request, within the limit that holds after a start. */
     void preload(SchedulerCommand.PreloadFunction command) {
-        if (loadsInstances(command) && !startupPreloadLimit.tryAcquire(transport.now())) {
+        if (loadsInstances(command) && !startupPreloadLimit.tryAcquire(transport.nowMicros())) {
             failPreloadLater(command, ResponseCode.NOT_SENT);
             return;
         }
-        listener.preloadSent();
-        InvokerClient client = connections.find(command.invoker());
+        listener.preloadAdmitted();
+        InvokerClient client = connections.findClient(command.invoker());
         if (client == null) {
             failPreloadLater(command, ResponseCode.CONNECT_FAILED);
             return;
@@ -92,7 +92,7 @@
     /** Waits for the end of a preload request. */
     private final class PreloadListener implements InvokerClient.OperationListener {
         private final SchedulerCommand.PreloadFunction command;
-        private final long sentAtMicros = transport.now();
+        private final long sentAtMicros = transport.nowMicros();
         private final boolean invokerWasReady;
 
         PreloadListener(SchedulerCommand.PreloadFunction command) {
@@ -101,15 +101,15 @@
         }
 
         @Override
-        public ExchangeResult.Kind withdrawal() {
+        public ExchangeResult.Kind checkBeforeSend() {
             if (!loadsInstances(command)) {
                 return null; // it begins no work
             }
-            WorkReadiness.Readiness known = readiness.of(command.invoker(), invokerWasReady);
-            if (sendGuard.checkPreload(known.ready(), known.known()) != null) {
+            InvokerReadiness.Readiness known = readiness.check(command.invoker(), invokerWasReady);
+            if (sendGuard.checkPreload(known.stillReady(), known.recentlyConfirmed()) != null) {
                 return ExchangeResult.Kind.NO_CAPACITY;
             }
-            readiness.sent(ControllerListener.WorkKind.PRELOAD);
+            readiness.recordSent(ControllerListener.WorkKind.PRELOAD);
             return null;
         }
 
@@ -121,8 +121,8 @@
         /** Notifies the classifier of the end, then the scheduler. */
         @Override
         public void completed(ExchangeResult result, int instances, LoadMetrics metrics) {
-            long elapsedMicros = transport.now() - sentAtMicros;
-            ResponseCode code = classifier.codeOfPreload(result);
+            long elapsedMicros = transport.nowMicros() - sentAtMicros;
+            ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
             listener.preloadCompleted(command.invoker(), command.function(), code);
             if (loadsInstances(command)) {
                 notifyClassifier(result, metrics, elapsedMicros);
@@ -147,7 +147,7 @@
 
     /** Sends an unload request; nobody waits for its end. */
     void unload(SchedulerCommand.UnloadFunction command) {
-        InvokerClient client = connections.find(command.invoker());
+        InvokerClient client = connections.findClient(command.invoker());
         if (client != null) {
             client.unload(command.function(), settings.preloading().preloadTimeoutMicros());
         }
@@ -155,8 +155,8 @@
 
     /** Sends a health check. */
     void checkHealth(SchedulerCommand.CheckHealth command) {
-        InvokerClient client = connections.find(command.invoker());
-        long sentAtMicros = transport.now();
+        InvokerClient client = connections.findClient(command.invoker());
+        long sentAtMicros = transport.nowMicros();
         if (client == null) {
             dispatchLater(
                     new HealthCheckCompleted(
@@ -166,13 +166,13 @@
         client.checkHealth(
                 settings.limits().connectTimeoutMicros(),
                 (result, instances, metrics) -> {
-                    ResponseCode code = classifier.codeOfPreload(result);
+                    ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
                     listener.healthCheckCompleted(command.invoker(), code);
                     dispatcher.dispatchToScheduler(
                             new HealthCheckCompleted(
                                     command.invoker(),
                                     code,
-                                    transport.now() - sentAtMicros,
+                                    transport.nowMicros() - sentAtMicros,
                                     metrics.report(),
                                     client.connectedSinceMicros()));
                 });
@@ -180,7 +180,7 @@
 
     /** Closes the idle connections to an invoker. */
     void closeIdleConnections(SchedulerCommand.CloseIdleConnections command) {
-        InvokerClient client = connections.find(command.invoker());
+        InvokerClient client = connections.findClient(command.invoker());
         if (client != null) {
             client.closeIdle();
         }
--- a/src/main/java/waytrestle/controller/WorkReadiness.java
+++ b/src/main/java/waytrestle/controller/InvokerReadiness.java
@@ -8,20 +8,20 @@
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
-final class WorkReadiness {
+final class InvokerReadiness {
     private final Transport transport;
     private final ControllerEnvironment environment;
     private final InvokerConnections connections;
     private final RequestScheduler scheduler;
-    private final ListExpiry listExpiry;
+    private final EndpointListExpiry listExpiry;
     private final ControllerListener listener;
 
-    WorkReadiness(
+    InvokerReadiness(
             Transport transport,
             ControllerEnvironment environment,
             InvokerConnections connections,
             RequestScheduler scheduler,
-            ListExpiry listExpiry,
+            EndpointListExpiry listExpiry,
             ControllerListener listener) {
         this.transport = transport;
         this.environment = environment;
@@ -34,10 +34,10 @@
     /**
      * What is known of an invoker.
      *
-     * @param ready whether it has not stopped being ready since the decision
-     * @param known whether its readiness was confirmed lately enough
+     * @param stillReady whether it has not stopped being ready since the decision
+     * @param recentlyConfirmed whether its readiness was confirmed lately enough
      */
-    record Readiness(boolean ready, boolean known) {}
+    record Readiness(boolean stillReady, boolean recentlyConfirmed) {}
 
     /**
      * Looks first at what service discovery has sent. Guards against sends of a process that has
@@ -45,16 +45,16 @@
      *
      * @param wasReady whether the invoker was ready at the decision
      */
-    Readiness of(String invoker, boolean wasReady) {
+    Readiness check(String invoker, boolean wasReady) {
         environment.pollEndpoints();
         return new Readiness(
-                connections.mayStillGet(invoker, wasReady),
-                scheduler.mayStartWork(invoker, transport.now()));
+                connections.isStillEligible(invoker, wasReady),
+                scheduler.mayStartWork(invoker, transport.nowMicros()));
     }
 
     /** The work is sent: counted where the endpoint list alone would not allow it. */
-    void sent(WorkKind kind) {
-        if (listExpiry.isExpired(transport.now())) {
+    void recordSent(WorkKind kind) {
+        if (listExpiry.isExpired(transport.nowMicros())) {
             listener.sentOnExpiredList(kind);
         }
     }
--- a/src/main/java/waytrestle/controller/PendingRequestsCommandHandler.java
+++ b/src/main/java/waytrestle/controller/PendingRequestsCommandHandler.java
@@ -60,12 +60,12 @@
         OpenRequest request =
                 new OpenRequest(
                         command.requestId(),
-                        transport.now() + command.timeLeftMicros(),
+                        transport.nowMicros() + command.timeLeftMicros(),
                         incoming,
                         client.listener(),
                         hints);
         openRequests.add(request);
-        startupPreloadLimit.requestAccepted(transport.now());
+        startupPreloadLimit.requestAccepted(transport.nowMicros());
         waitingClients.recordStartedRequest(command.clientId(), request);
         dispatcher.notifyClassifier(
                 new ClassifierEvent.RequestStarted(
--- a/src/main/java/waytrestle/controller/RequestAccessLogger.java
+++ b/src/main/java/waytrestle/controller/RequestAccessLogger.java
@@ -42,7 +42,7 @@
     void log(WaitingClient client, RequestOutcome outcome) {
         IncomingRequest incoming = client.incoming();
         String id = requestId(incoming);
-        if (!accessLog.takes(id)) {
+        if (!accessLog.shouldLog(id)) {
             return;
         }
         accessLog.write(
@@ -55,7 +55,7 @@
                         attempts(client.startedRequest()),
                         CompletionKind.of(outcome).label(),
                         CompletionKind.reasonLabel(outcome),
-                        transport.now() - client.acceptedAtMicros()));
+                        transport.nowMicros() - client.acceptedAtMicros()));
     }
 
     private static String requestId(IncomingRequest incoming) {
@@ -72,30 +72,30 @@
         return settings.tenants().get(incoming.tenant()).name();
     }
 
-    private List<AccessLine.Tried> attempts(OpenRequest request) {
+    private List<AccessLine.AttemptEntry> attempts(OpenRequest request) {
         if (request == null) {
             return List.of();
         }
-        List<AccessLine.Tried> lines = new ArrayList<>(request.attempts().size());
+        List<AccessLine.AttemptEntry> lines = new ArrayList<>(request.attempts().size());
         for (Attempt attempt : request.attempts()) {
             lines.add(attemptLine(attempt));
         }
         return lines;
     }
 
-    private AccessLine.Tried attemptLine(Attempt attempt) {
+    private AccessLine.AttemptEntry attemptLine(Attempt attempt) {
         Attempt.Plan plan = attempt.plan();
         if (attempt.hasEnded()) {
-            return new AccessLine.Tried(
+            return new AccessLine.AttemptEntry(
                     attempt.invoker(),
                     attempt.exchangeResult().text(),
                     attempt.elapsedMicros(),
                     plan.estimateMicros());
         }
-        return new AccessLine.Tried(
+        return new AccessLine.AttemptEntry(
                 attempt.invoker(),
                 OUTSTANDING,
-                transport.now() - plan.decidedAtMicros(),
+                transport.nowMicros() - plan.decidedAtMicros(),
                 plan.estimateMicros());
     }
 }
--- a/src/main/java/waytrestle/controller/ResponseGuard.java
+++ b/src/main/java/waytrestle/controller/ResponseGuard.java
@@ -27,7 +27,7 @@
      *
      * @param request null where the client has started none
      */
-    RequestOutcome checked(RequestOutcome outcome, OpenRequest request) {
+    RequestOutcome permittedOutcome(RequestOutcome outcome, OpenRequest request) {
         if (request == null || !(outcome instanceof Rejected rejected)) {
             return outcome;
         }
--- a/src/main/java/waytrestle/controller/SchedulerCommandHandler.java
+++ b/src/main/java/waytrestle/controller/SchedulerCommandHandler.java
@@ -42,7 +42,7 @@
     /** Carries out one command. */
     void execute(SchedulerCommand command) {
         if (command instanceof SchedulerCommand.ForwardAttempt forward) {
-            attemptSender.request(forward);
+            attemptSender.requestAttempt(forward);
         } else if (command instanceof SchedulerCommand.SetTimer timer) {
             setTimer(timer);
         } else if (command instanceof SchedulerCommand.RejectRequest reject) {
@@ -66,7 +66,7 @@
         } else if (command instanceof SchedulerCommand.FetchEndpoints) {
             environment.fetchEndpoints();
         } else if (command instanceof SchedulerCommand.LogMessage message) {
-            listener.message(message.text());
+            listener.logMessage(message.text());
         }
     }
 
--- a/src/main/java/waytrestle/controller/SchedulerEventLoop.java
+++ b/src/main/java/waytrestle/controller/SchedulerEventLoop.java
@@ -46,13 +46,13 @@
     }
 
     /** Sets who carries out commands and handles failures; once, before the first event. */
-    void connect(Consumer<SchedulerCommand> commandHandler, FailureHandler failureHandler) {
+    void setHandlers(Consumer<SchedulerCommand> commandHandler, FailureHandler failureHandler) {
         this.commandHandler = commandHandler;
         this.failureHandler = failureHandler;
     }
 
     /** Sets who hears, before its commands, that the scheduler has handled an endpoint list. */
-    void onEndpointsHandled(Runnable listener) {
+    void setEndpointsHandledListener(Runnable listener) {
         endpointsListener = listener;
     }
 
@@ -80,7 +80,7 @@
         remember(event);
         commands.clear();
         try {
-            scheduler.handle(transport.now(), event, commands::add);
+            scheduler.handle(transport.nowMicros(), event, commands::add);
         } catch (RuntimeException | StackOverflowError e) {
             failureHandler.schedulerThrew(event, recentEvents, e);
         }
--- a/src/main/java/waytrestle/controller/SchedulerFailureHandler.java
+++ b/src/main/java/waytrestle/controller/SchedulerFailureHandler.java
@@ -51,7 +51,7 @@
             openRequests.complete(requestId);
             dispatcher.enqueueForScheduler(new RequestAbandoned(requestId));
         }
-        if (failureThreshold.exceededBy(transport.now())) {
+        if (failureThreshold.recordFailure(transport.nowMicros())) {
             environment.schedulerFailed("more than " + failureThreshold.description());
         }
     }
--- a/src/main/java/waytrestle/controller/Transport.java
+++ b/src/main/java/waytrestle/controller/Transport.java
@@ -6,7 +6,7 @@
  */
 public interface Transport {
     /** The monotonic time in microseconds. */
-    long now();
+    long nowMicros();
 
     /** Runs a task after a delay. */
     void schedule(long micros, Runnable task);
@@ -17,5 +17,5 @@
      * @param lost called when all connections to the invoker were closed by it, though used a
      *     moment ago
      */
-    InvokerClient connect(String invoker, Runnable lost);
+    InvokerClient openClient(String invoker, Runnable lost);
 }
--- a/src/main/java/waytrestle/controller/WaitingClients.java
+++ b/src/main/java/waytrestle/controller/WaitingClients.java
@@ -44,7 +44,7 @@
     PendingResponse accept(IncomingRequest incoming, ResponseListener client) {
         lastClientId++;
         long clientId = lastClientId;
-        clients.put(clientId, new WaitingClient(client, incoming, transport.now(), null));
+        clients.put(clientId, new WaitingClient(client, incoming, transport.nowMicros(), null));
         dispatcher.dispatchToPendingRequests(
                 new PendingRequests.RequestArrived(
                         clientId,
@@ -81,12 +81,13 @@
         if (client == null) {
             return;
         }
-        RequestOutcome outcome = responseGuard.checked(command.outcome(), client.startedRequest());
+        RequestOutcome outcome =
+                responseGuard.permittedOutcome(command.outcome(), client.startedRequest());
         listener.requestCompleted(
                 client.incoming(),
                 CompletionKind.of(outcome).label(),
                 CompletionKind.reasonLabel(outcome),
-                transport.now() - client.acceptedAtMicros());
+                transport.nowMicros() - client.acceptedAtMicros());
         accessLogger.log(client, outcome);
         client.listener().completed(outcome);
     }
--- a/src/main/java/waytrestle/controller/WallClock.java
+++ b/src/main/java/waytrestle/controller/WallClock.java
@@ -3,11 +3,11 @@
 import java.util.function.LongSupplier;
 
 /** The wall clock, in the two units that the controller needs. */
-record WallClock(LongSupplier source) {
+record WallClock(LongSupplier millisSource) {
     private static final long MILLIS_PER_SECOND = 1_000;
 
     long millis() {
-        return source.getAsLong();
+        return millisSource.getAsLong();
     }
 
     long seconds() {
--- a/src/main/java/waytrestle/emulator/SimHost.java
+++ b/src/main/java/waytrestle/emulator/SimHost.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return clock.now();
     }
 
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public InvokerClient connect(String invoker, Runnable lost) {
+    public InvokerClient openClient(String invoker, Runnable lost) {
         return new SimWire(invoker, lost);
     }
 
@@ -192,7 +192,7 @@
         public Runnable sendAttempt(
                 IncomingRequest call, String key, int attempt, long within, AttemptListener ended) {
             Attempt a = new Attempt(id, ended);
-            Kind withdrawal = ended.withdrawal();
+            Kind withdrawal = ended.checkBeforeSend();
             if (withdrawal != null) {
                 clock.after(0, () -> a.end(AttemptResult.of(withdrawal)));
                 return () -> {};
@@ -324,7 +324,7 @@
         public void close() {}
 
         @Override
-        public int connections() {
+        public int openConnections() {
             return (int) open.stream().filter(a -> a.invoker.equals(id)).count();
         }
     }
--- a/src/main/java/waytrestle/gateway/EndpointSource.java
+++ b/src/main/java/waytrestle/gateway/EndpointSource.java
@@ -80,15 +80,15 @@
         if (isFixed()) {
             return;
         }
-        metrics.help("waytrestle_roster_age_seconds", "Time since the roster last answered.");
-        metrics.gauge(
+        metrics.setHelp("waytrestle_roster_age_seconds", "Time since the roster last answered.");
+        metrics.registerGauge(
                 "waytrestle_roster_age_seconds",
                 "",
                 () -> directory.age(Loop.now()) / MICROS_PER_SECOND);
-        metrics.help("waytrestle_roster_lost", "1 while the roster's last query has failed.");
-        metrics.gauge("waytrestle_roster_lost", "", () -> lost ? 1 : 0);
-        metrics.help("waytrestle_roster_outages", "Times that the roster was lost.");
-        metrics.gauge("waytrestle_roster_outages", "", () -> outages);
+        metrics.setHelp("waytrestle_roster_lost", "1 while the roster's last query has failed.");
+        metrics.registerGauge("waytrestle_roster_lost", "", () -> lost ? 1 : 0);
+        metrics.setHelp("waytrestle_roster_outages", "Times that the roster was lost.");
+        metrics.registerGauge("waytrestle_roster_outages", "", () -> outages);
     }
 
     /** Hands over the fixed list, or begins to poll. */
--- a/src/main/java/waytrestle/gateway/EventLoopTransport.java
+++ b/src/main/java/waytrestle/gateway/EventLoopTransport.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return Loop.now();
     }
 
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -105,14 +105,14 @@
                             config.access(),
                             config.seed(),
                             e -> LOG.warn("access_log.failed error=\"{}\"", e.toString()));
-            metrics.family(
+            metrics.registerFamily(
                     "waytrestle_access_lines_total",
                     "counter",
                     "Lines of the access log, written or dropped "
                             + "because the disk was slow or full.",
                     out -> {
-                        out.sample("end=\"written\"", access.written());
-                        out.sample("end=\"dropped\"", access.dropped());
+                        out.accept("end=\"written\"", access.writtenLines());
+                        out.accept("end=\"dropped\"", access.droppedLines());
                     });
         }
         GatewayControllerListener watch =
@@ -186,30 +186,30 @@
             router = new Router(fronts);
             ConnectionGuard door = new ConnectionGuard(config);
             server = new HttpServer(loop, config.listen(), config.http(), door, router);
-            metrics.gauge("waytrestle_body_bytes", "", door::bytes);
-            metrics.gauge("waytrestle_bodies_waiting", "", door::waiting);
-            metrics.gauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
+            metrics.registerGauge("waytrestle_body_bytes", "", door::bytes);
+            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waiting);
+            metrics.registerGauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
             admin = new HttpServer(loop, config.admin(), config.http(), 64, this::page);
-            metrics.help("waytrestle_body_bytes", "Bytes of request bodies held at present.");
-            metrics.help(
+            metrics.setHelp("waytrestle_body_bytes", "Bytes of request bodies held at present.");
+            metrics.setHelp(
                     "waytrestle_bodies_waiting",
                     "Bodies not read yet because all bodies together are at their bound.");
-            metrics.help(
+            metrics.setHelp(
                     "waytrestle_concurrency_limit",
                     "Open calls beyond which tenants over their share give way.");
-            metrics.help("waytrestle_connections", "Open connections of clients.");
-            metrics.help("waytrestle_timers", "Timers set on the loop.");
-            metrics.family(
+            metrics.setHelp("waytrestle_connections", "Open connections of clients.");
+            metrics.setHelp("waytrestle_timers", "Timers set on the loop.");
+            metrics.registerFamily(
                     "waytrestle_turned_away_total",
                     "counter",
                     "Messages or connections that never became calls.",
                     out -> {
                         TreeMap<String, Long> all = new TreeMap<>(server.turnedAway());
                         router.turnedAway().forEach((reason, n) -> all.merge(reason, n, Long::sum));
-                        all.forEach((reason, n) -> out.sample("reason=\"" + reason + "\"", n));
+                        all.forEach((reason, n) -> out.accept("reason=\"" + reason + "\"", n));
                     });
-            metrics.gauge("waytrestle_connections", "", server::connections);
-            metrics.gauge("waytrestle_timers", "", loop::timers);
+            metrics.registerGauge("waytrestle_connections", "", server::connections);
+            metrics.registerGauge("waytrestle_timers", "", loop::timers);
             process();
             if (config.peers().listen() != null) {
                 peers =
@@ -233,17 +233,18 @@
 
     /** What the process has used so far, for figures a call. */
     private void process() {
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_process_cpu_seconds",
                 "Processor time of the whole process since its start.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_loop_allocated_bytes",
                 "Bytes that the loop's thread has allocated since its start.");
         if (ManagementFactory.getOperatingSystemMXBean() instanceof OperatingSystemMXBean os) {
-            metrics.gauge("waytrestle_process_cpu_seconds", "", () -> os.getProcessCpuTime() / 1e9);
+            metrics.registerGauge(
+                    "waytrestle_process_cpu_seconds", "", () -> os.getProcessCpuTime() / 1e9);
         }
         if (ManagementFactory.getThreadMXBean() instanceof ThreadMXBean threads) {
-            metrics.gauge(
+            metrics.registerGauge(
                     "waytrestle_loop_allocated_bytes",
                     "",
                     () -> threads.getThreadAllocatedBytes(Thread.currentThread().getId()));
@@ -280,9 +281,9 @@
     }
 
     private void registerStalls(LoopWatchdog watchdog) {
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_loop_stalls", "Times that the event loop was stuck for three seconds.");
-        metrics.gauge("waytrestle_loop_stalls", "", watchdog::stalls);
+        metrics.registerGauge("waytrestle_loop_stalls", "", watchdog::stalls);
     }
 
     private void page(HttpServer.Exchange e) {
@@ -296,11 +297,11 @@
                     "Allow",
                     "GET");
         } else if (path.equals("/metrics")) {
-            e.answer(200, Metrics.TYPE, metricsPage().getBytes(StandardCharsets.UTF_8));
+            e.answer(200, Metrics.CONTENT_TYPE, metricsPage().getBytes(StandardCharsets.UTF_8));
         } else if (path.equals("/health/live")) {
             e.answer(200, "text/plain", "live\n".getBytes(StandardCharsets.US_ASCII));
         } else if (path.equals("/health/ready")) {
-            boolean ready = !stopping && controller.readyInvokers() > 0;
+            boolean ready = !stopping && controller.readyInvokerCount() > 0;
             e.answer(
                     ready ? 200 : 503,
                     "text/plain",
@@ -316,7 +317,7 @@
     }
 
     private String metricsPage() {
-        return metrics.page();
+        return metrics.render();
     }
 
     public int port() {
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -81,57 +81,58 @@
 
     /** Names what is counted, once the controller stands. */
     public GatewayControllerListener gauges(Controller controller) {
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_calls_total",
                 "Answers given, by class and end: served, refused (coming again is "
                         + "harmless), failed, or left by its client.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_unserved_total",
                 "Refused and failed calls by class and reason; a function's own "
                         + "error counts under the reason function.");
-        metrics.help("waytrestle_call_seconds", "Time from a call's acceptance to its answer.");
-        metrics.help(
+        metrics.setHelp("waytrestle_call_seconds", "Time from a call's acceptance to its answer.");
+        metrics.setHelp(
                 "waytrestle_attempts_total",
                 "Attempts ended, by the code that the decisions heard; MOOT never " + "went out.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_replies_total",
                 "What came back of attempts, by invoker: a status or a word in place " + "of one.");
-        metrics.help("waytrestle_attempt_seconds", "Time from sending an attempt to its end.");
-        metrics.help("waytrestle_orders_total", "Load orders given.");
-        metrics.help(
+        metrics.setHelp("waytrestle_attempt_seconds", "Time from sending an attempt to its end.");
+        metrics.setHelp("waytrestle_orders_total", "Load orders given.");
+        metrics.setHelp(
                 "waytrestle_failed_decisions_total",
                 "Decisions that threw; each failed its call alone.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_ejections_total",
                 "Times that an invoker was left out for a while because it alone " + "erred.");
-        metrics.help("waytrestle_open_calls", "Calls accepted and not answered yet.");
-        metrics.help("waytrestle_invokers_ready", "Invokers that the roster calls ready.");
-        metrics.help(
+        metrics.setHelp("waytrestle_open_calls", "Calls accepted and not answered yet.");
+        metrics.setHelp("waytrestle_invokers_ready", "Invokers that the roster calls ready.");
+        metrics.setHelp(
                 "waytrestle_invokers_ejected",
                 "Ready invokers left out at present because they alone err.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_functions_blamed",
                 "Functions that fail everywhere and are answered for without a "
                         + "try, but for one probe at a time.");
-        metrics.help(
+        metrics.setHelp(
                 "waytrestle_ids_remembered",
                 "Ids in the memory that keeps repeats from running again.");
-        metrics.help("waytrestle_ids_bytes", "Bytes of these ids and their remembered answers.");
-        metrics.help("waytrestle_invoker_connections", "Open connections to all invokers.");
-        metrics.gauge("waytrestle_open_calls", "", desk::inFlight);
-        metrics.gauge("waytrestle_invokers_ready", "", controller::readyInvokers);
-        metrics.gauge("waytrestle_invokers_ejected", "", outcomes::ejectedInvokers);
-        metrics.gauge("waytrestle_functions_blamed", "", outcomes::openCircuits);
-        metrics.gauge("waytrestle_ids_remembered", "", () -> desk.idempotencyStore().size());
-        metrics.gauge("waytrestle_ids_bytes", "", () -> desk.idempotencyStore().bytes());
-        metrics.gauge("waytrestle_invoker_connections", "", controller::connections);
-        metrics.family(
+        metrics.setHelp("waytrestle_ids_bytes", "Bytes of these ids and their remembered answers.");
+        metrics.setHelp("waytrestle_invoker_connections", "Open connections to all invokers.");
+        metrics.registerGauge("waytrestle_open_calls", "", desk::inFlight);
+        metrics.registerGauge("waytrestle_invokers_ready", "", controller::readyInvokerCount);
+        metrics.registerGauge("waytrestle_invokers_ejected", "", outcomes::ejectedInvokers);
+        metrics.registerGauge("waytrestle_functions_blamed", "", outcomes::openCircuits);
+        metrics.registerGauge(
+                "waytrestle_ids_remembered", "", () -> desk.idempotencyStore().size());
+        metrics.registerGauge("waytrestle_ids_bytes", "", () -> desk.idempotencyStore().bytes());
+        metrics.registerGauge("waytrestle_invoker_connections", "", controller::openConnections);
+        metrics.registerFamily(
                 "waytrestle_promises_total",
                 "counter",
                 "Answers by which an invoker kept, broke or left untold "
                         + "what a setting promises of it.",
                 out ->
-                        outcomes.capabilities(
+                        outcomes.forEachCapability(
                                 (invoker, promise, untold, kept, broken) -> {
                                     String labels =
                                             "invoker=\""
@@ -139,9 +140,9 @@
                                                     + "\",promise=\""
                                                     + promise.label()
                                                     + "\",seen=\"";
-                                    out.sample(labels + "untold\"", untold);
-                                    out.sample(labels + "kept\"", kept);
-                                    out.sample(labels + "broken\"", broken);
+                                    out.accept(labels + "untold\"", untold);
+                                    out.accept(labels + "kept\"", kept);
+                                    out.accept(labels + "broken\"", broken);
                                 }));
         return this;
     }
@@ -157,15 +158,15 @@
     @Override
     public void requestCompleted(IncomingRequest call, String end, String reason, long micros) {
         String labels = labels(call, end);
-        metrics.counter("waytrestle_calls_total", labels).add();
+        metrics.counter("waytrestle_calls_total", labels).increment();
         if (end.equals("left")) {
             return;
         }
         if (!end.equals("served")) {
             metrics.counter("waytrestle_unserved_total", labels + ",reason=\"" + reason + "\"")
-                    .add();
+                    .increment();
         }
-        metrics.latency("waytrestle_call_seconds", labels, micros);
+        metrics.recordLatency("waytrestle_call_seconds", labels, micros);
     }
 
     /** The code as metrics have always named it. */
@@ -180,14 +181,14 @@
     @Override
     public void attemptCompleted(
             ResponseCode code, String invoker, ExchangeResult said, long micros) {
-        metrics.counter("waytrestle_attempts_total", "code=\"" + label(code) + "\"").add();
+        metrics.counter("waytrestle_attempts_total", "code=\"" + label(code) + "\"").increment();
         if (code != ResponseCode.NOT_SENT) {
             metrics.counter(
                             "waytrestle_replies_total",
                             "invoker=\"" + invoker + "\",reply=\"" + said.text() + "\"")
-                    .add();
+                    .increment();
         }
-        metrics.latency("waytrestle_attempt_seconds", "code=\"" + label(code) + "\"", micros);
+        metrics.recordLatency("waytrestle_attempt_seconds", "code=\"" + label(code) + "\"", micros);
     }
 
     @Override
@@ -202,13 +203,13 @@
     }
 
     @Override
-    public void preloadSent() {
-        metrics.counter("waytrestle_orders_total", "").add();
+    public void preloadAdmitted() {
+        metrics.counter("waytrestle_orders_total", "").increment();
     }
 
     @Override
     public void invokerEjected(String invoker, long micros) {
-        metrics.counter("waytrestle_ejections_total", "").add();
+        metrics.counter("waytrestle_ejections_total", "").increment();
         LOG.warn("invoker.ejected invoker={} duration_ms={}", invoker, micros / 1_000);
     }
 
@@ -218,7 +219,7 @@
     }
 
     @Override
-    public void capabilityWarning(ClassifierCommand.WarnOfCapability a) {
+    public void capabilityWarning(ClassifierCommand.WarnOfMissingCapability a) {
         LOG.warn(
                 "capability.{} invoker={} setting={} declared=\"{}\"",
                 a.unreported() ? "not_reported" : "refuted",
@@ -229,7 +230,7 @@
 
     @Override
     public void invokerRemoved(String invoker) {
-        metrics.forget("invoker=\"" + invoker + "\"");
+        metrics.removeCounters("invoker=\"" + invoker + "\"");
     }
 
     @Override
@@ -242,11 +243,11 @@
                 event,
                 List.copyOf(before),
                 why);
-        metrics.counter("waytrestle_failed_decisions_total", "").add();
+        metrics.counter("waytrestle_failed_decisions_total", "").increment();
     }
 
     @Override
-    public void message(String text) {
+    public void logMessage(String text) {
         LOG.info("{}", text);
     }
 }
--- a/src/main/java/waytrestle/gateway/HttpInvokerClient.java
+++ b/src/main/java/waytrestle/gateway/HttpInvokerClient.java
@@ -49,7 +49,7 @@
         return new Withdrawal() {
             @Override
             public ExchangeBreak now() {
-                Kind how = exchange.withdrawal();
+                Kind how = exchange.checkBeforeSend();
                 if (how == null) {
                     return null;
                 }
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public int connections() {
+    public int openConnections() {
         return client.open();
     }
 }
--- a/src/main/java/waytrestle/gateway/SocketTransport.java
+++ b/src/main/java/waytrestle/gateway/SocketTransport.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public InvokerClient connect(String invoker, Runnable lost) {
+    public InvokerClient openClient(String invoker, Runnable lost) {
         return new Link(invoker, lost);
     }
 
--- a/src/main/java/waytrestle/invoker/platform/PlatformResponseClassifier.java
+++ b/src/main/java/waytrestle/invoker/platform/PlatformResponseClassifier.java
@@ -25,8 +25,8 @@
             commands.add(
                     new ClassifierCommand.AdmitRequest(
                             started.requestId(),
-                            started.concurrencyPerInstance(),
-                            started.loadMicros()));
+                            started.declaredConcurrencyPerInstance(),
+                            started.declaredLoadMicros()));
         } else if (event instanceof ClassifierEvent.AttemptRequested requested) {
             commands.add(
                     new ClassifierCommand.ForwardAttempt(
@@ -44,14 +44,14 @@
     }
 
     private Classification classify(ExchangeResult result) {
-        ResponseCode code = codeOfPreload(result);
+        ResponseCode code = codeOfPreloadOrHealthCheck(result);
         boolean endsRequest = code == ResponseCode.OK;
         return new Classification(code, endsRequest, false, false);
     }
 
     /** The code of any result: attempts, preloads and health checks prove the same by it. */
     @Override
-    public ResponseCode codeOfPreload(ExchangeResult result) {
+    public ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult result) {
         return switch (result.kind()) {
             case RESPONSE -> ResponseCode.OK;
             case STATUS -> codeOfStatus(result.status());
--- a/src/main/java/waytrestle/metrics/Metrics.java
+++ b/src/main/java/waytrestle/metrics/Metrics.java
@@ -10,7 +10,7 @@
  * Counters, gauges and latencies of one loop, written as a Prometheus text page (version 0.0.4).
  */
 public final class Metrics {
-    public static final String TYPE = "text/plain; version=0.0.4; charset=utf-8";
+    public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     private static final long HIGHEST = 3_600_000_000L; // micros: an hour; longer counts as that
     private static final double[] QUANTILES = {0.5, 0.9, 0.99, 0.999};
 
@@ -26,7 +26,7 @@
     public static final class Counter {
         private long value;
 
-        public void add() {
+        public void increment() {
             value++;
         }
 
@@ -41,16 +41,16 @@
     private final Map<String, String> help = new LinkedHashMap<>();
     private final Map<String, Written> families = new TreeMap<>();
 
-    private record Written(String type, Family family) {}
+    private record Written(String type, MetricFamily family) {}
 
     /** Takes a sample of a family; labels as for counters. */
-    public interface Samples {
-        void sample(String labels, double value);
+    public interface SampleSink {
+        void accept(String labels, double value);
     }
 
     /** Series that somebody else holds, written when the page is. */
-    public interface Family {
-        void write(Samples out);
+    public interface MetricFamily {
+        void writeSamples(SampleSink out);
     }
 
     private final boolean latent;
@@ -64,7 +64,7 @@
         this.latent = latencies;
     }
 
-    public void help(String name, String text) {
+    public void setHelp(String name, String text) {
         help.put(name, text);
     }
 
@@ -73,22 +73,22 @@
         return counters.computeIfAbsent(new Series(name, labels), s -> new Counter());
     }
 
-    public void gauge(String name, String labels, DoubleSupplier value) {
+    public void registerGauge(String name, String labels, DoubleSupplier value) {
         gauges.put(new Series(name, labels), value);
     }
 
     /** Series held elsewhere, by type as the page has it: counter or gauge. */
-    public void family(String name, String type, String text, Family family) {
-        help(name, text);
+    public void registerFamily(String name, String type, String text, MetricFamily family) {
+        setHelp(name, text);
         families.put(name, new Written(type, family));
     }
 
     /** Drops the counters that carry a label, as {@code invoker="a"}: what it named is gone. */
-    public void forget(String label) {
+    public void removeCounters(String label) {
         counters.keySet().removeIf(s -> s.labels().contains(label));
     }
 
-    public void latency(String name, String labels, long micros) {
+    public void recordLatency(String name, String labels, long micros) {
         if (!latent) {
             return;
         }
@@ -97,7 +97,7 @@
                 .recordValue(Math.min(HIGHEST, Math.max(0, micros)));
     }
 
-    public String page() {
+    public String render() {
         StringBuilder out = new StringBuilder(4_096);
         String[] last = {""};
         counters.forEach(
@@ -113,7 +113,8 @@
         families.forEach(
                 (name, written) -> {
                     head(out, last, name, written.type());
-                    written.family().write((labels, value) -> line(out, name, labels, "", value));
+                    written.family()
+                            .writeSamples((labels, value) -> line(out, name, labels, "", value));
                 });
         latencies.forEach(
                 (series, histogram) -> {
--- a/src/main/java/waytrestle/platform/ConfigurationReloader.java
+++ b/src/main/java/waytrestle/platform/ConfigurationReloader.java
@@ -66,7 +66,7 @@
             return true;
         } catch (PlatformConfig.Wrong e) {
             String line = new LogLine("config.rejected").with("error", e.getMessage()).toString();
-            loop.execute(() -> log.message(line));
+            loop.execute(() -> log.logMessage(line));
             return false;
         }
     }
@@ -76,7 +76,7 @@
             return;
         }
         lastApplied = number;
-        log.message(
+        log.logMessage(
                 new LogLine("config.reloaded").with("watch_address", config.board()).toString());
         receiver.accept(config);
     }
--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -101,7 +101,7 @@
         this.log = log;
         this.startRetry = new StartRetry(log);
         this.loop = startRetry.open("loop", this::createLoop);
-        loop.faults().reportTo(log::message);
+        loop.faults().reportTo(log::logMessage);
         int connections = Math.max(MIN_CONNECTIONS, config.sockets() - RESERVED_DESCRIPTORS);
         this.maxClientConnections = (int) Math.max(1, CLIENT_CONNECTION_SHARE * connections);
         this.maxInvokerConnections = connections - maxClientConnections;
@@ -195,7 +195,7 @@
                 endpoints::apply,
                 startup::open,
                 freshness -> discovery.freshnessChanged(freshness, state.lastRevision()),
-                log::message);
+                log::logMessage);
     }
 
     private GossipSocket openGossip(Controller controller) throws IOException {
--- a/src/main/java/waytrestle/platform/DiscoveryMonitor.java
+++ b/src/main/java/waytrestle/platform/DiscoveryMonitor.java
@@ -48,7 +48,7 @@
         lost = true;
         lostAtMicros = now;
         outages++;
-        log.message(
+        log.logMessage(
                 new LogLine("discovery.lost")
                         .with("cause", freshness.cause())
                         .with("revision", lastRevision)
@@ -60,7 +60,7 @@
         lost = false;
         long duration = now - lostAtMicros;
         longestOutageMicros = Math.max(longestOutageMicros, duration);
-        log.message(
+        log.logMessage(
                 new LogLine(outages == 0 ? "discovery.synchronized" : "discovery.restored")
                         .with("revision", lastRevision)
                         .with("after_ms", toMillis(duration))
--- a/src/main/java/waytrestle/platform/PlatformController.java
+++ b/src/main/java/waytrestle/platform/PlatformController.java
@@ -124,7 +124,7 @@
                 components.frontEnd().requestsInFlight(),
                 components.addresses().size(),
                 components.startTimes().size(),
-                components.controller().invokerClients(),
+                components.controller().invokerClientCount(),
                 components.server().connections(),
                 loop.timers());
     }
--- a/src/main/java/waytrestle/platform/PlatformEnvironment.java
+++ b/src/main/java/waytrestle/platform/PlatformEnvironment.java
@@ -51,6 +51,6 @@
     /** Logs and goes on: to end the process would lose every request in flight. */
     @Override
     public void schedulerFailed(String reason) {
-        log.message(new LogLine("scheduler.failed").with("reason", reason).toString());
+        log.logMessage(new LogLine("scheduler.failed").with("reason", reason).toString());
     }
 }
--- a/src/main/java/waytrestle/platform/PlatformLog.java
+++ b/src/main/java/waytrestle/platform/PlatformLog.java
@@ -68,7 +68,7 @@
     @Override
     public void decisionFailed(
             SchedulerEvent event, Collection<SchedulerEvent> before, Throwable cause) {
-        message(
+        logMessage(
                 new LogLine("scheduler.decision_failed")
                         .with("event", event)
                         .with("error", cause)
@@ -78,13 +78,13 @@
 
     /** Logs what a handler of the event loop has thrown. */
     void handlerFailed(Throwable cause) {
-        message(new LogLine("handler.failed").with("error", cause).toString());
+        logMessage(new LogLine("handler.failed").with("error", cause).toString());
         stackTrace(cause);
     }
 
     private void stackTrace(Throwable cause) {
         for (StackTraceElement frame : cause.getStackTrace()) {
-            message(frameLine(frame));
+            logMessage(frameLine(frame));
         }
     }
 
@@ -111,11 +111,11 @@
     }
 
     @Override
-    public void attemptEnded(
+    public void requestAttemptCompleted(
             IncomingRequest request, int attempt, String invoker, ResponseCode code) {
         attemptsByCode.merge(code, 1L, Long::sum);
         if (LOGGED_CODES.contains(code)) {
-            message(attemptLine("attempt.failed", request, attempt, invoker, code));
+            logMessage(attemptLine("attempt.failed", request, attempt, invoker, code));
         }
     }
 
@@ -123,13 +123,13 @@
     public void sendRefused(
             IncomingRequest request, int attempt, String invoker, SendGuard.Refusal reason) {
         String event = reason.isViolation() ? "send.violation_prevented" : "send.refused";
-        message(attemptLine(event, request, attempt, invoker, reason));
+        logMessage(attemptLine(event, request, attempt, invoker, reason));
     }
 
     @Override
     public void attemptSendDelayed(
             IncomingRequest request, int attempt, String invoker, long micros) {
-        message(
+        logMessage(
                 new LogLine(SEND_DELAYED_EVENT)
                         .with("id", request.forwardedRequestId())
                         .with("attempt", attempt)
@@ -140,7 +140,7 @@
 
     @Override
     public void preloadSendDelayed(String invoker, String function, long micros) {
-        message(
+        logMessage(
                 new LogLine(SEND_DELAYED_EVENT)
                         .with("preload", function)
                         .with("invoker", invoker)
@@ -183,7 +183,7 @@
     @Override
     public void requestRepeated(IncomingRequest request, PendingRequests.RepeatKind kind) {
         repeats.merge(kind, 1L, Long::sum);
-        message(
+        logMessage(
                 new LogLine("request.repeated")
                         .with("id", request.forwardedRequestId())
                         .with("class", request.requestClass())
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void message(String line) {
+    public void logMessage(String line) {
         long second = Loop.now() / MICROS_PER_SECOND;
         linesInSecond = second == currentSecond ? linesInSecond + 1 : 1;
         currentSecond = second;
--- a/src/main/java/waytrestle/platform/PlatformTransport.java
+++ b/src/main/java/waytrestle/platform/PlatformTransport.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public InvokerClient connect(String invoker, Runnable connectionsLost) {
+    public InvokerClient openClient(String invoker, Runnable connectionsLost) {
         InetSocketAddress address = addresses.get(invoker);
         PlatformInvokerProtocol protocol =
                 new PlatformInvokerProtocol(
--- a/src/main/java/waytrestle/platform/StartRetry.java
+++ b/src/main/java/waytrestle/platform/StartRetry.java
@@ -41,7 +41,7 @@
                 if (System.nanoTime() - begin > PATIENCE_NANOS) {
                     throw e;
                 }
-                log.message(
+                log.logMessage(
                         new LogLine("start.retried")
                                 .with("what", what)
                                 .with("error", e.getMessage())
--- a/src/main/java/waytrestle/responses/RequestClassification.java
+++ b/src/main/java/waytrestle/responses/AttemptClassifier.java
@@ -9,7 +9,7 @@
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
-final class RequestClassification {
+final class AttemptClassifier {
     /** Invokers that must not know a function before it counts as known nowhere. */
     private static final int MIN_INVOKERS_WITHOUT_FUNCTION = 2;
 
@@ -23,7 +23,7 @@
      *
      * @param failedAttempts failures alike that end a request
      */
-    RequestClassification(InvokerTable invokers, int failedAttempts, Preloading preloading) {
+    AttemptClassifier(InvokerTable invokers, int failedAttempts, Preloading preloading) {
         this.invokers = invokers;
         this.failedAttempts = failedAttempts;
         this.reportsNotLoaded = preloading.reportsNotLoaded();
@@ -36,8 +36,8 @@
         if (kind == ResponseKind.SERVED) {
             return new Classification(ResponseCode.OK, true, false, false);
         }
-        request.setLastResult(outcome.result());
-        if (kind == ResponseKind.REJECTED && !outcome.fromSuspect()) {
+        request.setLastUnservedResult(outcome.result());
+        if (kind == ResponseKind.REJECTED && !outcome.fromOutlier()) {
             return new Classification(ResponseCode.REJECTED, true, true, false);
         }
         if (kind == ResponseKind.NOT_LOADED) {
@@ -57,11 +57,11 @@
             RequestRecord request, AttemptOutcome outcome, long nowMicros) {
         FunctionRecord function = outcome.function();
         String invoker = outcome.invoker();
-        if (!loadsOnRequest || function.history().servedAtMicros(invoker) != 0) {
+        if (!loadsOnRequest || function.history().lastServedAtMicros(invoker) != 0) {
             request.addInvokerWithoutFunction(invoker);
         }
         boolean knownNowhere =
-                !function.history().servedLately(nowMicros)
+                !function.history().servedRecently(nowMicros)
                         && request.invokersWithoutFunction() >= neededInvokersWithoutFunction();
         if (knownNowhere) {
             function.circuit().addFailingInvoker(invoker);
@@ -80,11 +80,11 @@
     private Classification classifyFailure(RequestRecord request, AttemptOutcome outcome) {
         String result = outcome.result().text();
         request.addFailure();
-        if (!outcome.fromSuspect()) {
-            request.addCountedFailure(result);
+        if (!outcome.fromOutlier()) {
+            request.addNonOutlierFailure(result);
         }
         boolean endsRequest =
-                request.countedFailuresLike(result) >= failedAttempts
+                request.nonOutlierFailuresWithResult(result) >= failedAttempts
                         || request.failures() > failedAttempts;
         boolean rejected = outcome.kind() == ResponseKind.REJECTED;
         ResponseCode code = rejected ? ResponseCode.ERROR : outcome.kind().code();
--- a/src/main/java/waytrestle/responses/AttemptOutcome.java
+++ b/src/main/java/waytrestle/responses/AttemptOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How an attempt ended, and who took part.
  *
- * @param fromSuspect whether the invoker is suspected of a fault, so that its failures are no
+ * @param fromOutlier whether the invoker is suspected of a fault, so that its failures are no
  *     evidence against the function
  */
 record AttemptOutcome(
@@ -11,4 +11,4 @@
         String invoker,
         ResponseKind kind,
         ExchangeResult result,
-        boolean fromSuspect) {}
+        boolean fromOutlier) {}
--- a/src/main/java/waytrestle/responses/CapabilityEvidence.java
+++ b/src/main/java/waytrestle/responses/CapabilityEvidence.java
@@ -71,7 +71,7 @@
     }
 
     /** Whether the operator has yet to be warned; true once. */
-    boolean claimWarning() {
+    boolean markWarned() {
         boolean first = !warned;
         warned = true;
         return first;
--- a/src/main/java/waytrestle/responses/CapabilityLedger.java
+++ b/src/main/java/waytrestle/responses/CapabilityEvidenceTable.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
-final class CapabilityLedger {
+final class CapabilityEvidenceTable {
     /** Receives warnings. */
     interface WarningListener {
         /**
@@ -25,7 +25,7 @@
     private final Map<String, Map<DeclaredCapability, CapabilityEvidence>> byInvoker =
             new HashMap<>();
 
-    CapabilityLedger(WarningListener listener) {
+    CapabilityEvidenceTable(WarningListener listener) {
         this.listener = listener;
     }
 
@@ -49,7 +49,7 @@
     void addUnreported(String invoker, DeclaredCapability capability) {
         CapabilityEvidence evidence = evidence(invoker, capability);
         evidence.addUnreported();
-        if (evidence.isMostlyUnreported() && evidence.claimWarning()) {
+        if (evidence.isMostlyUnreported() && evidence.markWarned()) {
             listener.warn(invoker, capability, true);
         }
     }
@@ -63,7 +63,7 @@
     void addChecked(String invoker, DeclaredCapability capability, boolean held) {
         CapabilityEvidence evidence = evidence(invoker, capability);
         evidence.addChecked(held);
-        if (evidence.isMostlyRefuted() && evidence.claimWarning()) {
+        if (evidence.isMostlyRefuted() && evidence.markWarned()) {
             listener.warn(invoker, capability, false);
         }
     }
--- a/src/main/java/waytrestle/responses/CapabilityVerifier.java
+++ b/src/main/java/waytrestle/responses/CapabilityVerifier.java
@@ -35,28 +35,29 @@
     /**
      * What the settings declare of all invokers.
      *
-     * @param start that they report whether the instance stood loaded
-     * @param concurrency that they report how many requests of the function were there
-     * @param loadReports that they report their load with each response
-     * @param notLoadedResponses that they respond at once where the function is not loaded
+     * @param reportsStartKind that they report whether the instance stood loaded
+     * @param reportsConcurrency that they report how many requests of the function were there
+     * @param reportsLoad that they report their load with each response
+     * @param reportsNotLoaded that they respond at once where the function is not loaded
      * @param keepAliveMicros how long they keep an idle instance
      */
-    record Declaration(
-            boolean start,
-            boolean concurrency,
-            boolean loadReports,
-            boolean notLoadedResponses,
+    record DeclaredCapabilities(
+            boolean reportsStartKind,
+            boolean reportsConcurrency,
+            boolean reportsLoad,
+            boolean reportsNotLoaded,
             long keepAliveMicros) {}
 
-    private final Declaration declared;
-    private final CapabilityLedger ledger;
+    private final DeclaredCapabilities declared;
+    private final CapabilityEvidenceTable ledger;
     private final LoadReportVerifier loadReports;
 
-    CapabilityVerifier(Declaration declared, CapabilityLedger ledger) {
+    CapabilityVerifier(DeclaredCapabilities declared, CapabilityEvidenceTable ledger) {
         this.declared = declared;
         this.ledger = ledger;
         this.loadReports =
-                new LoadReportVerifier(declared.concurrency(), declared.loadReports(), ledger);
+                new LoadReportVerifier(
+                        declared.reportsConcurrency(), declared.reportsLoad(), ledger);
     }
 
     /**
@@ -70,13 +71,13 @@
             return InvokerLoadReport.EMPTY;
         }
         Map<String, Double> metrics =
-                loadReports.believedMetrics(function, attempt, reported.metrics());
+                loadReports.verifiedMetrics(function, attempt, reported.metrics());
         StartKind start = reported.start();
         int concurrency = InvokerLoadReport.CONCURRENCY_NOT_REPORTED;
         if (attempt.served()) {
             start = believedStart(function, attempt, reported.start());
             concurrency =
-                    loadReports.believedConcurrency(
+                    loadReports.verifiedConcurrency(
                             attempt, reported.concurrentRequests(), metrics);
         }
         if (reported.start() != StartKind.LOAD_FAILED) {
@@ -113,7 +114,7 @@
             FunctionRecord function, CompletedAttempt attempt, StartKind reported) {
         String invoker = attempt.invoker();
         if (reported == StartKind.UNKNOWN) {
-            if (declared.start()) {
+            if (declared.reportsStartKind()) {
                 ledger.addUnreported(invoker, DeclaredCapability.START);
             }
             return reported;
@@ -159,7 +160,7 @@
     }
 
     private boolean mayStandLoaded(FunctionRecord function, CompletedAttempt attempt) {
-        long servedAtMicros = function.history().servedAtMicros(attempt.invoker());
+        long servedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
         long idleMicros = attempt.sentAtMicros() - servedAtMicros;
         return servedAtMicros != 0 && idleMicros < declared.keepAliveMicros();
     }
@@ -168,18 +169,18 @@
             FunctionRecord function, CompletedAttempt attempt, StartKind start) {
         boolean loadedWhileWaiting = attempt.served() && start == StartKind.COLD;
         boolean notLoaded = attempt.kind() == ResponseKind.NOT_LOADED;
-        boolean servedBefore = function.history().servedAtMicros(attempt.invoker()) != 0;
+        boolean servedBefore = function.history().lastServedAtMicros(attempt.invoker()) != 0;
         if (loadedWhileWaiting || (notLoaded && servedBefore)) {
             ledger.addChecked(
                     attempt.invoker(),
                     DeclaredCapability.NOT_LOADED_RESPONSES,
-                    declared.notLoadedResponses() == notLoaded);
+                    declared.reportsNotLoaded() == notLoaded);
         }
     }
 
     private void checkKeepAlive(
             FunctionRecord function, CompletedAttempt attempt, StartKind start) {
-        long servedAtMicros = function.history().servedAtMicros(attempt.invoker());
+        long servedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
         long idleMicros = attempt.sentAtMicros() - servedAtMicros;
         if (servedAtMicros == 0 || idleMicros <= 0 || idleMicros > declared.keepAliveMicros()) {
             return;
--- a/src/main/java/waytrestle/responses/ClassifierCommand.java
+++ b/src/main/java/waytrestle/responses/ClassifierCommand.java
@@ -15,7 +15,7 @@
             implements ClassifierCommand {}
 
     /** Reject the request: its function fails everywhere, last with this result. */
-    record RejectFast(long requestId, ExchangeResult lastResult, long retryAfterMicros)
+    record RejectRequest(long requestId, ExchangeResult lastFailureResult, long retryAfterMicros)
             implements ClassifierCommand {}
 
     /** Send the attempt. */
@@ -49,7 +49,8 @@
      *
      * @param unreported whether it mostly reports nothing; otherwise what it reports is wrong
      */
-    record WarnOfCapability(String invoker, DeclaredCapability capability, boolean unreported)
+    record WarnOfMissingCapability(
+            String invoker, DeclaredCapability capability, boolean unreported)
             implements ClassifierCommand {}
 
     /** Send {@link ClassifierEvent.TimerExpired} after a time. */
--- a/src/main/java/waytrestle/responses/ClassifierEvent.java
+++ b/src/main/java/waytrestle/responses/ClassifierEvent.java
@@ -8,9 +8,9 @@
     record RequestStarted(
             long requestId,
             String function,
-            int concurrencyPerInstance,
-            long loadMicros,
-            long workMicros)
+            int declaredConcurrencyPerInstance,
+            long declaredLoadMicros,
+            long declaredWorkMicros)
             implements ClassifierEvent {}
 
     /** The scheduler wants an attempt to be sent. */
@@ -32,13 +32,13 @@
     /**
      * A preload request ended.
      *
-     * @param instances loaded instances that the invoker reports; below 0 if it reports none
+     * @param loadedInstances loaded instances that the invoker reports; below 0 if it reports none
      */
     record PreloadCompleted(
             String invoker,
             String function,
             ExchangeResult result,
-            int instances,
+            int loadedInstances,
             long elapsedMicros,
             long declaredLoadMicros)
             implements ClassifierEvent {}
--- a/src/main/java/waytrestle/responses/ConcurrencyEstimate.java
+++ b/src/main/java/waytrestle/responses/ConcurrencyEstimate.java
@@ -79,7 +79,7 @@
     }
 
     /** The concurrency per instance to go by; 0 where none was declared and none learned. */
-    int corrected(int declared) {
+    int correctedConcurrency(int declared) {
         if (!allResponses.isKnown(1)) {
             return declared;
         }
--- a/src/main/java/waytrestle/responses/EndpointListFilter.java
+++ b/src/main/java/waytrestle/responses/EndpointListFilter.java
@@ -43,7 +43,7 @@
                 ejection.readmit(listed.id(), invoker, nowMicros, commands);
             }
             invoker.setEndpoint(listed.state() == EndpointState.GONE ? null : listed);
-            visible.add(invoker.visibleToScheduler(listed));
+            visible.add(invoker.endpointForScheduler(listed));
         }
         invokers.removeGone(onInvokerRemoved);
         commands.add(
@@ -62,7 +62,7 @@
      * connections showed the end of the earlier process, and from now on it counts as just started.
      * It can hurt where a server closes connections that are in use.
      */
-    void connectionsLost(String id, long nowMicros, Sink commands) {
+    void handleConnectionsLost(String id, long nowMicros, Sink commands) {
         InvokerRecord invoker = invokers.find(id);
         if (invoker == null || !invoker.isReady()) {
             return;
@@ -72,7 +72,7 @@
             return;
         }
         invoker.markRestarted(nowMicros);
-        InvokerEndpoint visible = invoker.visibleToScheduler(invoker.endpoint());
+        InvokerEndpoint visible = invoker.endpointForScheduler(invoker.endpoint());
         commands.add(new UpdateEndpoints(new EndpointsUpdated(false, false, List.of(visible))));
     }
 }
--- a/src/main/java/waytrestle/responses/FailureAttribution.java
+++ b/src/main/java/waytrestle/responses/FailureAttribution.java
@@ -41,7 +41,7 @@
             attributeEarlierFailures(function, outcome.invoker(), nowMicros, commands);
         }
         function.addResponse(outcome.invoker(), kind, nowMicros);
-        if (failure && !outcome.fromSuspect()) {
+        if (failure && !outcome.fromOutlier()) {
             function.circuit().addFailingInvoker(outcome.invoker());
         }
     }
@@ -50,7 +50,7 @@
         boolean unexpectedlyNotLoaded =
                 kind == ResponseKind.NOT_LOADED
                         && !invokersReportNotLoaded
-                        && function.history().servedLately(nowMicros);
+                        && function.history().servedRecently(nowMicros);
         return kind.isFailure() || unexpectedlyNotLoaded;
     }
 
@@ -59,20 +59,22 @@
         OutlierDetector health = invokers.findOrAdd(invoker).health();
         ResponseHistory history = outcome.function().history();
         if (outcome.kind() == ResponseKind.REJECTED) {
-            health.addRejection(history.rejectionShareElsewhere(invoker, nowMicros), nowMicros);
+            health.addRejection(
+                    history.rejectionShareAtOtherInvokers(invoker, nowMicros), nowMicros);
         }
-        health.addResponse(failure, history.failureShareElsewhere(invoker, nowMicros), nowMicros);
+        health.addResponse(
+                failure, history.failureShareAtOtherInvokers(invoker, nowMicros), nowMicros);
     }
 
     /** A response here shows that failures of the function elsewhere were their invokers'. */
     private void attributeEarlierFailures(
             FunctionRecord function, String invoker, long nowMicros, Sink commands) {
-        Map<String, Integer> explained = function.takeFailuresExplainedBy(invoker);
+        Map<String, Integer> explained = function.takeFailuresOfOtherInvokers(invoker);
         for (Map.Entry<String, Integer> entry : explained.entrySet()) {
             String otherId = entry.getKey();
             InvokerRecord other = invokers.find(otherId);
             if (other != null) {
-                double share = function.history().failureShareElsewhere(otherId, nowMicros);
+                double share = function.history().failureShareAtOtherInvokers(otherId, nowMicros);
                 other.health().addAttributedFailures(entry.getValue(), share, nowMicros);
                 ejection.ejectIfOutlier(otherId, other, nowMicros, commands);
             }
--- a/src/main/java/waytrestle/responses/FunctionCircuit.java
+++ b/src/main/java/waytrestle/responses/FunctionCircuit.java
@@ -26,11 +26,11 @@
     /**
      * When the circuit opens and how it probes.
      *
-     * @param failures requests in a row that must have failed
-     * @param pauseMicros first pause until a probe; it doubles with each probe that fails
+     * @param failedRequestsToOpen requests in a row that must have failed
+     * @param firstPauseMicros first pause until a probe; it doubles with each probe that fails
      * @param maxPauseMicros longest pause
      */
-    record Rules(int failures, long pauseMicros, long maxPauseMicros) {}
+    record Rules(int failedRequestsToOpen, long firstPauseMicros, long maxPauseMicros) {}
 
     enum State {
         CLOSED,
@@ -56,13 +56,13 @@
     }
 
     /** The result of the last request that failed. */
-    ExchangeResult lastResult() {
+    ExchangeResult lastFailureResult() {
         return lastResult;
     }
 
     /** Whether the function, and not an invoker, is held to be the cause of its failures. */
-    boolean isFunctionBlamed() {
-        return state != State.CLOSED || failedRequestsInRow >= rules.failures();
+    boolean isFunctionFaulty() {
+        return state != State.CLOSED || failedRequestsInRow >= rules.failedRequestsToOpen();
     }
 
     /** The function served or rejected, so that it works. */
@@ -82,12 +82,14 @@
     }
 
     /** A request failed; the number of ready invokers bounds how many can show the failure. */
-    void requestFailed(long requestId, ExchangeResult result, int readyInvokers, long nowMicros) {
+    void recordFailedRequest(
+            long requestId, ExchangeResult result, int readyInvokers, long nowMicros) {
         lastResult = result;
         failedRequestsInRow++;
         int neededInvokers = Math.min(MIN_FAILING_INVOKERS, Math.max(1, readyInvokers));
         boolean failsEverywhere =
-                failedRequestsInRow >= rules.failures() && failingInvokers.size() >= neededInvokers;
+                failedRequestsInRow >= rules.failedRequestsToOpen()
+                        && failingInvokers.size() >= neededInvokers;
         if (requestId == probeRequestId || (state == State.CLOSED && failsEverywhere)) {
             open(nowMicros);
         }
@@ -95,7 +97,7 @@
 
     private void open(long nowMicros) {
         if (pauseMicros == 0) {
-            pauseMicros = rules.pauseMicros();
+            pauseMicros = rules.firstPauseMicros();
         } else {
             pauseMicros = Math.min(rules.maxPauseMicros(), 2 * pauseMicros);
         }
@@ -105,7 +107,7 @@
     }
 
     /** Whether a request is admitted; after the pause one at a time is, as a probe. */
-    boolean admits(long requestId, long nowMicros) {
+    boolean tryAdmit(long requestId, long nowMicros) {
         if (state == State.CLOSED) {
             return true;
         }
@@ -118,7 +120,7 @@
     }
 
     /** A request is over; after a probe that showed nothing the next request is the probe. */
-    void requestCompleted(long requestId) {
+    void recordCompletedRequest(long requestId) {
         if (requestId == probeRequestId) {
             probeRequestId = NO_PROBE;
             state = State.OPEN;
@@ -127,6 +129,6 @@
 
     /** Time until the next probe, at least one pause. */
     long retryAfterMicros(long nowMicros) {
-        return Math.max(rules.pauseMicros(), nextProbeAtMicros - nowMicros);
+        return Math.max(rules.firstPauseMicros(), nextProbeAtMicros - nowMicros);
     }
 }
--- a/src/main/java/waytrestle/responses/FunctionRecord.java
+++ b/src/main/java/waytrestle/responses/FunctionRecord.java
@@ -56,8 +56,8 @@
      * theirs. None while the function itself is blamed: its recovery proves nothing against
      * anybody.
      */
-    Map<String, Integer> takeFailuresExplainedBy(String invoker) {
-        if (circuit.isFunctionBlamed()) {
+    Map<String, Integer> takeFailuresOfOtherInvokers(String invoker) {
+        if (circuit.isFunctionFaulty()) {
             unattributed.clear();
             return Map.of();
         }
@@ -66,7 +66,7 @@
 
     /** The load time to go by: the declared one, until loads have shown another. */
     long correctedLoadMicros(long declaredMicros) {
-        if (declaredMicros <= 0 || latency.loads() < MIN_LOADS_MEASURED) {
+        if (declaredMicros <= 0 || latency.measuredLoads() < MIN_LOADS_MEASURED) {
             return declaredMicros;
         }
         double measured = latency.loadMicros(declaredMicros);
--- a/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
+++ b/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
@@ -8,9 +8,9 @@
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.FailFunctionNotFound;
 import waytrestle.responses.ClassifierCommand.ForwardAttempt;
-import waytrestle.responses.ClassifierCommand.RejectFast;
+import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierCommand.Sink;
-import waytrestle.responses.ClassifierCommand.WarnOfCapability;
+import waytrestle.responses.ClassifierCommand.WarnOfMissingCapability;
 import waytrestle.responses.ClassifierCommand.WithholdAttempt;
 import waytrestle.responses.ClassifierEvent.AttemptCompleted;
 import waytrestle.responses.ClassifierEvent.AttemptRequested;
@@ -40,26 +40,26 @@
      * Settings; times are in microseconds.
      *
      * @param attemptsPerRequest attempts allowed per request, over all requests
-     * @param failedAttempts failures alike that end a request
+     * @param matchingFailuresToEndRequest failures alike that end a request
      * @param maxEjectedShare share of the ready invokers that may be ejected at a time
-     * @param breakerFailures failed requests in a row that open a function's circuit
-     * @param breakerPauseMicros first pause until a probe
+     * @param breakerFailedRequests failed requests in a row that open a function's circuit
+     * @param breakerFirstPauseMicros first pause until a probe
      * @param breakerMaxPauseMicros longest pause until a probe
      * @param maxFunctions functions remembered; the least recently used one is forgotten
      */
     public record Settings(
             double attemptsPerRequest,
-            int failedAttempts,
+            int matchingFailuresToEndRequest,
             double maxEjectedShare,
-            int breakerFailures,
-            long breakerPauseMicros,
+            int breakerFailedRequests,
+            long breakerFirstPauseMicros,
             long breakerMaxPauseMicros,
             int maxFunctions) {}
 
     /** Receives what responses have shown of one declared capability of one invoker. */
-    public interface CapabilityCounts {
+    public interface CapabilityCountsConsumer {
         /** Takes the numbers of responses that did not report it, confirmed and refuted it. */
-        void count(
+        void accept(
                 String invoker,
                 DeclaredCapability capability,
                 long unreported,
@@ -73,7 +73,7 @@
 
     private final int controllers;
     private final AttemptBudget attemptBudget;
-    private final CapabilityLedger capabilityLedger;
+    private final CapabilityEvidenceTable capabilityLedger;
     private final CapabilityVerifier capabilityVerifier;
     private final LeastRecentlyUsedMap<FunctionRecord> functions;
     private final InvokerTable invokers = new InvokerTable();
@@ -82,7 +82,7 @@
     private final OutlierEjection ejection;
     private final EndpointListFilter endpointList;
     private final FailureAttribution attribution;
-    private final RequestClassification requestClassification;
+    private final AttemptClassifier requestClassification;
     private long nowMicros;
     private Sink commands;
 
@@ -91,13 +91,13 @@
             Settings settings, Preloading loading, LoadReportSource reports, int controllers) {
         this.controllers = controllers;
         this.attemptBudget = new AttemptBudget(settings.attemptsPerRequest());
-        this.capabilityLedger = new CapabilityLedger(this::warnOfCapability);
+        this.capabilityLedger = new CapabilityEvidenceTable(this::warnOfCapability);
         this.capabilityVerifier =
                 new CapabilityVerifier(declaration(loading, reports), capabilityLedger);
         FunctionCircuit.Rules circuitRules =
                 new FunctionCircuit.Rules(
-                        settings.breakerFailures(),
-                        settings.breakerPauseMicros(),
+                        settings.breakerFailedRequests(),
+                        settings.breakerFirstPauseMicros(),
                         settings.breakerMaxPauseMicros());
         this.functions =
                 new LeastRecentlyUsedMap<>(
@@ -108,12 +108,12 @@
         this.endpointList = new EndpointListFilter(invokers, ejection, capabilityLedger::remove);
         this.attribution = new FailureAttribution(invokers, ejection, loading.reportsNotLoaded());
         this.requestClassification =
-                new RequestClassification(invokers, settings.failedAttempts(), loading);
+                new AttemptClassifier(invokers, settings.matchingFailuresToEndRequest(), loading);
     }
 
-    private static CapabilityVerifier.Declaration declaration(
+    private static CapabilityVerifier.DeclaredCapabilities declaration(
             Preloading loading, LoadReportSource reports) {
-        return new CapabilityVerifier.Declaration(
+        return new CapabilityVerifier.DeclaredCapabilities(
                 loading.reportsStartKind(),
                 loading.reportsConcurrency(),
                 reports == LoadReportSource.RESPONSES,
@@ -123,7 +123,7 @@
 
     private void warnOfCapability(
             String invoker, DeclaredCapability capability, boolean unreported) {
-        commands.add(new WarnOfCapability(invoker, capability, unreported));
+        commands.add(new WarnOfMissingCapability(invoker, capability, unreported));
     }
 
     @Override
@@ -143,14 +143,14 @@
         } else if (event instanceof EndpointListReceived received) {
             endpointList.update(received.update(), nowMicros, commands);
         } else if (event instanceof ConnectionsLost lost) {
-            endpointList.connectionsLost(lost.invoker(), nowMicros, commands);
+            endpointList.handleConnectionsLost(lost.invoker(), nowMicros, commands);
         } else if (event instanceof TimerExpired) {
             ejection.readmitExpired(nowMicros, commands);
         }
     }
 
     @Override
-    public ResponseCode codeOfPreload(ExchangeResult reply) {
+    public ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult reply) {
         ResponseCode code = ResponseKind.of(reply).code();
         return code == ResponseCode.REJECTED ? ResponseCode.ERROR : code;
     }
@@ -161,13 +161,13 @@
     }
 
     /** Reports the evidence on all declared capabilities of all invokers. */
-    public void capabilities(CapabilityCounts counts) {
+    public void forEachCapability(CapabilityCountsConsumer counts) {
         for (String invoker : invokers.ids()) {
             capabilityLedger
                     .evidenceOf(invoker)
                     .forEach(
                             (capability, evidence) ->
-                                    counts.count(
+                                    counts.accept(
                                             invoker,
                                             capability,
                                             evidence.unreported(),
@@ -196,15 +196,17 @@
         long requestId = event.requestId();
         FunctionRecord function = functions.findOrAdd(event.function());
         FunctionCircuit circuit = function.circuit();
-        if (!circuit.admits(requestId, nowMicros)) {
+        if (!circuit.tryAdmit(requestId, nowMicros)) {
             long retryAfterMicros = circuit.retryAfterMicros(nowMicros);
-            commands.add(new RejectFast(requestId, circuit.lastResult(), retryAfterMicros));
+            commands.add(
+                    new RejectRequest(requestId, circuit.lastFailureResult(), retryAfterMicros));
             return;
         }
         attemptBudget.addRequest(nowMicros);
         openRequests.put(requestId, new RequestRecord(event));
-        int concurrency = function.concurrency().corrected(event.concurrencyPerInstance());
-        long loadMicros = function.correctedLoadMicros(event.loadMicros());
+        int concurrency =
+                function.concurrency().correctedConcurrency(event.declaredConcurrencyPerInstance());
+        long loadMicros = function.correctedLoadMicros(event.declaredLoadMicros());
         commands.add(new AdmitRequest(requestId, concurrency, loadMicros));
     }
 
@@ -215,7 +217,7 @@
             return;
         }
         AttemptKey key = new AttemptKey(event.requestId(), event.attempt());
-        String function = request.request().function();
+        String function = request.startEvent().function();
         InvokerRecord invoker = invokers.findOrAdd(event.invoker());
         int level = invoker.addAttempt(key, function, nowMicros);
         boolean alone = controllers == 1 && invoker.attemptsInFlight() == level;
@@ -249,7 +251,7 @@
                         attempt.invoker(),
                         kind,
                         event.result(),
-                        invoker.health().isSuspect(nowMicros));
+                        invoker.health().isOutlierOrEjected(nowMicros));
         addCompletion(event, classify(request, outcome, event.loadReport().start()), believed);
         ejection.ejectIfOutlier(attempt.invoker(), invoker, nowMicros, commands);
     }
@@ -267,9 +269,9 @@
                 kind,
                 attempt.sentAtMicros(),
                 nowMicros - attempt.sentAtMicros(),
-                invokers.findOrAdd(attempt.invoker()).attemptsSurelyArrived(nowMicros),
-                request == null ? 0 : request.request().loadMicros(),
-                request == null ? 0 : request.request().workMicros());
+                invokers.findOrAdd(attempt.invoker()).attemptsPresumedReceived(nowMicros),
+                request == null ? 0 : request.startEvent().declaredLoadMicros(),
+                request == null ? 0 : request.startEvent().declaredWorkMicros());
     }
 
     private void learnFrom(
@@ -281,7 +283,8 @@
         function.latency().addResponse(latencyMicros);
         if (start == StartKind.WARM || start == StartKind.UNKNOWN) {
             function.concurrency()
-                    .addResponse(attempt.concurrencyLevel(), latencyMicros, attempt.alone());
+                    .addResponse(
+                            attempt.concurrencyLevel(), latencyMicros, attempt.aloneAtInvoker());
         }
     }
 
@@ -304,27 +307,27 @@
         if (request == null) {
             return;
         }
-        FunctionCircuit circuit = functions.findOrAdd(request.request().function()).circuit();
+        FunctionCircuit circuit = functions.findOrAdd(request.startEvent().function()).circuit();
         if (!event.functionResponded() && request.countsAgainstFunction()) {
             int readyInvokers = invokers.readyCount();
-            circuit.requestFailed(
-                    event.requestId(), request.lastResult(), readyInvokers, nowMicros);
+            circuit.recordFailedRequest(
+                    event.requestId(), request.lastUnservedResult(), readyInvokers, nowMicros);
         }
-        circuit.requestCompleted(event.requestId());
+        circuit.recordCompletedRequest(event.requestId());
     }
 
     private void completePreload(PreloadCompleted event) {
         FunctionRecord function = functions.findOrAdd(event.function());
-        if (event.result().kind() == ExchangeResult.Kind.RESPONSE && event.instances() != 0) {
+        if (event.result().kind() == ExchangeResult.Kind.RESPONSE && event.loadedInstances() != 0) {
             function.latency().addLoad(event.elapsedMicros());
-            function.history().setLoaded(event.invoker(), nowMicros);
+            function.history().markLoaded(event.invoker(), nowMicros);
             capabilityVerifier.verifyPreload(
                     event.invoker(),
                     event.elapsedMicros(),
                     event.declaredLoadMicros(),
-                    event.instances());
+                    event.loadedInstances());
         }
-        boolean existenceProven = function.history().servedLately(nowMicros);
+        boolean existenceProven = function.history().servedRecently(nowMicros);
         if (refusesAsUnknown(event.result()) && !existenceProven) {
             function.circuit().addFailingInvoker(event.invoker());
             failRequestsWithoutInstance(event.function());
@@ -341,7 +344,8 @@
         List<Long> failed = new ArrayList<>();
         openRequests.forEach(
                 (requestId, request) -> {
-                    if (request.request().function().equals(function) && foundNoInstance(request)) {
+                    if (request.startEvent().function().equals(function)
+                            && foundNoInstance(request)) {
                         request.countAgainstFunction();
                         failed.add(requestId);
                     }
@@ -350,7 +354,7 @@
     }
 
     private static boolean foundNoInstance(RequestRecord request) {
-        ExchangeResult last = request.lastResult();
+        ExchangeResult last = request.lastUnservedResult();
         return last != null && ResponseKind.of(last) == ResponseKind.NOT_LOADED;
     }
 }
--- a/src/main/java/waytrestle/responses/InvokerRecord.java
+++ b/src/main/java/waytrestle/responses/InvokerRecord.java
@@ -61,7 +61,7 @@
     }
 
     /** Attempts in flight that the invoker must have received by now. */
-    int attemptsSurelyArrived(long nowMicros) {
+    int attemptsPresumedReceived(long nowMicros) {
         int arrived = 0;
         for (long sentAt : sentAtMicros.values()) {
             if (sentAt < nowMicros - SURELY_ARRIVED_MICROS) {
@@ -89,7 +89,7 @@
     }
 
     /** An endpoint of this invoker as the scheduler is to see it: draining while it is ejected. */
-    InvokerEndpoint visibleToScheduler(InvokerEndpoint listed) {
+    InvokerEndpoint endpointForScheduler(InvokerEndpoint listed) {
         if (!health.isEjected() || listed.state() != EndpointState.READY) {
             return listed;
         }
--- a/src/main/java/waytrestle/responses/LatencyBaseline.java
+++ b/src/main/java/waytrestle/responses/LatencyBaseline.java
@@ -65,7 +65,7 @@
     }
 
     /** Loads measured so far. */
-    int loads() {
+    int measuredLoads() {
         return loads;
     }
 
--- a/src/main/java/waytrestle/responses/LoadReportVerifier.java
+++ b/src/main/java/waytrestle/responses/LoadReportVerifier.java
@@ -41,18 +41,20 @@
 
     private final boolean declaresConcurrency;
     private final boolean declaresLoadReports;
-    private final CapabilityLedger ledger;
+    private final CapabilityEvidenceTable ledger;
     private double meanInFlight;
 
     LoadReportVerifier(
-            boolean declaresConcurrency, boolean declaresLoadReports, CapabilityLedger ledger) {
+            boolean declaresConcurrency,
+            boolean declaresLoadReports,
+            CapabilityEvidenceTable ledger) {
         this.declaresConcurrency = declaresConcurrency;
         this.declaresLoadReports = declaresLoadReports;
         this.ledger = ledger;
     }
 
     /** The reported metrics if they are to be believed, otherwise none. */
-    Map<String, Double> believedMetrics(
+    Map<String, Double> verifiedMetrics(
             FunctionRecord function, CompletedAttempt attempt, Map<String, Double> metrics) {
         if (metrics.isEmpty()) {
             if (declaresLoadReports) {
@@ -90,7 +92,7 @@
         if (inFlight == null) {
             return true;
         }
-        int own = attempt.attemptsSurelyArrived();
+        int own = attempt.attemptsPresumedReceived();
         boolean tooFew =
                 own >= MIN_OWN_REQUESTS && inFlight < own * MIN_OWN_REQUESTS_REPORTED_SHARE;
         boolean overloaded = inFlight > overloadInFlight();
@@ -113,7 +115,7 @@
      * The reported concurrent requests of the function if they are to be believed: never more than
      * all requests that are there.
      */
-    int believedConcurrency(
+    int verifiedConcurrency(
             CompletedAttempt attempt, int reported, Map<String, Double> believedMetrics) {
         if (!declaresConcurrency) {
             return InvokerLoadReport.CONCURRENCY_NOT_REPORTED;
--- a/src/main/java/waytrestle/responses/OutlierDetector.java
+++ b/src/main/java/waytrestle/responses/OutlierDetector.java
@@ -108,7 +108,7 @@
     }
 
     /** Whether what comes from the invoker is no evidence against functions. */
-    boolean isSuspect(long nowMicros) {
+    boolean isOutlierOrEjected(long nowMicros) {
         return isOutlier(nowMicros) || isEjected();
     }
 
--- a/src/main/java/waytrestle/responses/OutlierEjection.java
+++ b/src/main/java/waytrestle/responses/OutlierEjection.java
@@ -38,7 +38,7 @@
         }
         long durationMicros = health.eject(nowMicros);
         commands.add(new ReportEjection(id, durationMicros));
-        commands.add(updateOf(invoker.visibleToScheduler(invoker.endpoint())));
+        commands.add(updateOf(invoker.endpointForScheduler(invoker.endpoint())));
         commands.add(new SetTimer(durationMicros));
     }
 
--- a/src/main/java/waytrestle/responses/RequestRecord.java
+++ b/src/main/java/waytrestle/responses/RequestRecord.java
@@ -25,16 +25,16 @@
         this.request = request;
     }
 
-    RequestStarted request() {
+    RequestStarted startEvent() {
         return request;
     }
 
     /** The last result other than a served response; null if there was none. */
-    ExchangeResult lastResult() {
+    ExchangeResult lastUnservedResult() {
         return lastResult;
     }
 
-    void setLastResult(ExchangeResult result) {
+    void setLastUnservedResult(ExchangeResult result) {
         lastResult = result;
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Adds what a failure at an invoker under no suspicion looked like. */
-    void addCountedFailure(String result) {
+    void addNonOutlierFailure(String result) {
         countsAgainstFunction = true;
         countedFailures.add(result);
     }
@@ -74,7 +74,7 @@
     }
 
     /** How many of the counted failures looked like this one. */
-    int countedFailuresLike(String result) {
+    int nonOutlierFailuresWithResult(String result) {
         int alike = 0;
         for (String failure : countedFailures) {
             if (failure.equals(result)) {
--- a/src/main/java/waytrestle/responses/ResponseClassifier.java
+++ b/src/main/java/waytrestle/responses/ResponseClassifier.java
@@ -13,7 +13,7 @@
     void handle(long nowMicros, ClassifierEvent event, ClassifierCommand.Sink out);
 
     /** The code of the response to a preload request or a health check. */
-    ResponseCode codeOfPreload(ExchangeResult reply);
+    ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult reply);
 
     /** Number of entries held for open requests; 0 when none is open. */
     int retainedEntries();
--- a/src/main/java/waytrestle/responses/ResponseHistory.java
+++ b/src/main/java/waytrestle/responses/ResponseHistory.java
@@ -54,30 +54,30 @@
     }
 
     /** The function was loaded at this invoker, which counts as if it had served there. */
-    void setLoaded(String invoker, long nowMicros) {
+    void markLoaded(String invoker, long nowMicros) {
         byInvoker.findOrAdd(invoker).servedAtMicros = nowMicros;
     }
 
     /** When the function was last served at this invoker; 0 if that is not known. */
-    long servedAtMicros(String invoker) {
+    long lastServedAtMicros(String invoker) {
         Responses own = byInvoker.find(invoker);
         return own == null ? 0 : own.servedAtMicros;
     }
 
     /** Whether any invoker has served the function lately, so that it exists. */
-    boolean servedLately(long nowMicros) {
+    boolean servedRecently(long nowMicros) {
         return total.servedAtMicros != 0 && nowMicros - total.servedAtMicros < EXISTENCE_MICROS;
     }
 
     /** Usual share of failures at all other invokers; negative while too little is known. */
-    double failureShareElsewhere(String invoker, long nowMicros) {
+    double failureShareAtOtherInvokers(String invoker, long nowMicros) {
         Responses own = byInvoker.find(invoker);
         DecayingSum ownFailed = own == null ? null : own.failed;
         return shareElsewhere(total.failed, own, ownFailed, nowMicros);
     }
 
     /** Usual share of rejections at all other invokers; negative while too little is known. */
-    double rejectionShareElsewhere(String invoker, long nowMicros) {
+    double rejectionShareAtOtherInvokers(String invoker, long nowMicros) {
         Responses own = byInvoker.find(invoker);
         DecayingSum ownRejected = own == null ? null : own.rejected;
         return shareElsewhere(total.rejected, own, ownRejected, nowMicros);
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -61,7 +61,7 @@
             readyCounts.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
         }
         state.readyInvokersByKind.forEach(
-                (kind, average) -> average.set(readyCounts.getOrDefault(kind, 0), state.now));
+                (kind, average) -> average.setCount(readyCounts.getOrDefault(kind, 0), state.now));
         readyCounts.forEach(
                 (kind, count) ->
                         state.readyInvokersByKind
@@ -70,6 +70,6 @@
                                         absent ->
                                                 new DecayingAverage(
                                                         FinishTimeEstimate.RATE_DECAY_MICROS))
-                                .set(count, state.now));
+                                .setCount(count, state.now));
     }
 }
--- a/src/main/java/waytrestle/scheduler/SlowStartBudget.java
+++ b/src/main/java/waytrestle/scheduler/SlowStartBudget.java
@@ -104,7 +104,8 @@
                         ? 1
                         : Math.max(
                                 1,
-                                ready.max(state.now)); // average exceeds the count during a rolling
+                                ready.maxOfCountAndAverage(
+                                        state.now)); // average exceeds the count during a rolling
         // restart
         return rate * rules.overloadWindowMicros() / readyInvokers;
     }
--- a/src/main/java/waytrestle/stats/DecayingAverage.java
+++ b/src/main/java/waytrestle/stats/DecayingAverage.java
@@ -28,12 +28,12 @@
     }
 
     /** The larger of count and average. */
-    public double max(long nowMicros) {
+    public double maxOfCountAndAverage(long nowMicros) {
         return Math.max(count, average(nowMicros));
     }
 
     /** Changes the count; the first one is also the average. */
-    public void set(int newCount, long nowMicros) {
+    public void setCount(int newCount, long nowMicros) {
         averageBefore = started ? average(nowMicros) : newCount;
         started = true;
         count = newCount;
--- a/src/test/java/waytrestle/access/AccessLineJsonTest.java
+++ b/src/test/java/waytrestle/access/AccessLineJsonTest.java
@@ -13,8 +13,10 @@
 
     @Test
     void everyFieldIsWrittenInItsOrder() {
-        AccessLine.Tried failed = new AccessLine.Tried("invoker-1", "503", 1_200, 30_000);
-        AccessLine.Tried inFlight = new AccessLine.Tried("invoker-2", "open", 800, -1);
+        AccessLine.AttemptEntry failed =
+                new AccessLine.AttemptEntry("invoker-1", "503", 1_200, 30_000);
+        AccessLine.AttemptEntry inFlight =
+                new AccessLine.AttemptEntry("invoker-2", "open", 800, -1);
         AccessLine line =
                 new AccessLine(
                         1_700_000_000_000L,
--- a/src/test/java/waytrestle/access/FileAccessLogTest.java
+++ b/src/test/java/waytrestle/access/FileAccessLogTest.java
@@ -39,8 +39,8 @@
         assertEquals(20, lines.size());
         assertTrue(lines.get(0).contains("\"function-0\""), lines.get(0));
         assertTrue(lines.get(19).contains("\"function-19\""), lines.get(19));
-        assertEquals(20, log.written());
-        assertEquals(0, log.dropped());
+        assertEquals(20, log.writtenLines());
+        assertEquals(0, log.droppedLines());
         assertEquals(List.of(), failures);
     }
 
@@ -68,7 +68,7 @@
         log.close();
         assertTrue(Files.readString(rotated).contains("\"before\""));
         assertTrue(Files.readString(file).contains("\"after\""));
-        assertEquals(2, log.written());
+        assertEquals(2, log.writtenLines());
     }
 
     @Test
@@ -78,8 +78,8 @@
             int sampled = 0;
             for (int i = 0; i < IDS; i++) {
                 String id = "request-" + i;
-                assertEquals(log.takes(id), other.takes(id), id);
-                sampled += log.takes(id) ? 1 : 0;
+                assertEquals(log.shouldLog(id), other.shouldLog(id), id);
+                sampled += log.shouldLog(id) ? 1 : 0;
             }
             assertTrue(
                     sampled > 0.2 * IDS && sampled < 0.3 * IDS,
@@ -92,7 +92,7 @@
         try (FileAccessLog log = open(directory.resolve("a"), 0.25)) {
             int sampled = 0;
             for (int i = 0; i < IDS; i++) {
-                sampled += log.takes("") ? 1 : 0;
+                sampled += log.shouldLog("") ? 1 : 0;
             }
             assertTrue(
                     sampled > 0.2 * IDS && sampled < 0.3 * IDS,
@@ -103,8 +103,8 @@
     @Test
     void everyRequestIsLoggedWithoutSampling() throws IOException {
         try (FileAccessLog log = open(directory.resolve("a"), 1)) {
-            assertTrue(log.takes(""));
-            assertTrue(log.takes("request-1"));
+            assertTrue(log.shouldLog(""));
+            assertTrue(log.shouldLog("request-1"));
         }
     }
 }
--- a/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
@@ -26,7 +26,7 @@
 
     private ResponseCode codeOf(String head) {
         HttpMessage response = parseResponse("HTTP/1.1 " + head + "\r\n\r\n");
-        return classifier.codeOfPreload(PlatformInvokerProtocol.result(response));
+        return classifier.codeOfPreloadOrHealthCheck(PlatformInvokerProtocol.result(response));
     }
 
     @Test
@@ -58,7 +58,7 @@
                             || kind == ExchangeResult.Kind.NO_CAPACITY
                             || kind == ExchangeResult.Kind.WITHHELD;
             if (kind != ExchangeResult.Kind.STATUS) {
-                ResponseCode code = classifier.codeOfPreload(ExchangeResult.of(kind));
+                ResponseCode code = classifier.codeOfPreloadOrHealthCheck(ExchangeResult.of(kind));
                 assertEquals(nothingSent, PendingRequests.provesNotRun(code), kind.name());
             }
         }
--- a/src/test/java/waytrestle/platform/PlatformLogTest.java
+++ b/src/test/java/waytrestle/platform/PlatformLogTest.java
@@ -32,7 +32,7 @@
     @Test
     void aFloodOfLinesIsCutOffEachSecond() {
         for (int i = 0; i < 1_000; i++) {
-            log.message("line");
+            log.logMessage("line");
         }
         // At most two seconds of the clock: the flood takes milliseconds.
         int count = lines().size();
--- a/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
+++ b/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import waytrestle.responses.ClassifierCommand.WarnOfCapability;
+import waytrestle.responses.ClassifierCommand.WarnOfMissingCapability;
 import waytrestle.scheduler.StartKind;
 
 /** What of the reports of invokers is believed. */
@@ -28,13 +28,14 @@
 
     private StartKind believedStart(
             String function, String invoker, long latencyMicros, StartKind reported) {
-        return fixture.serve(function, invoker, latencyMicros, startReport(reported)).start();
+        return fixture.serveRequest(function, invoker, latencyMicros, startReport(reported))
+                .start();
     }
 
     private void serveWithPlausibleReports() {
         Map<String, Double> metrics = Map.of("inflight", 2.0, "queue", 1.0);
         for (int i = 0; i < RESPONSES_THAT_SETTLE; i++) {
-            fixture.serve("f", "i0", RUN, new InvokerLoadReport(StartKind.WARM, 0, metrics));
+            fixture.serveRequest("f", "i0", RUN, new InvokerLoadReport(StartKind.WARM, 0, metrics));
         }
     }
 
@@ -55,7 +56,7 @@
                         Map.of("inflight", 1.0, "queue", 9.0));
         for (Map<String, Double> metrics : impossible) {
             InvokerLoadReport report = new InvokerLoadReport(StartKind.WARM, -1, metrics);
-            InvokerLoadReport believed = fixture.serve("f", "i1", RUN, report);
+            InvokerLoadReport believed = fixture.serveRequest("f", "i1", RUN, report);
             assertEquals(Map.of(), believed.metrics(), metrics.toString());
         }
     }
@@ -65,9 +66,9 @@
         serveWithPlausibleReports();
         Map<String, Double> metrics = Map.of("inflight", 2.0);
         InvokerLoadReport tooMany = new InvokerLoadReport(StartKind.WARM, 90, metrics);
-        assertEquals(-1, fixture.serve("f", "i0", RUN, tooMany).concurrentRequests());
+        assertEquals(-1, fixture.serveRequest("f", "i0", RUN, tooMany).concurrentRequests());
         InvokerLoadReport plausible = new InvokerLoadReport(StartKind.WARM, 2, metrics);
-        assertEquals(2, fixture.serve("f", "i0", RUN, plausible).concurrentRequests());
+        assertEquals(2, fixture.serveRequest("f", "i0", RUN, plausible).concurrentRequests());
     }
 
     @Test
@@ -77,7 +78,7 @@
         assertEquals(StartKind.COLD, believedStart("f", "i1", LOAD_AND_RUN, StartKind.COLD));
         assertEquals(StartKind.UNKNOWN, believedStart("g", "i1", RUN, StartKind.UNKNOWN));
         Map<String, Long> refutedCounts = new HashMap<>();
-        fixture.classifier.capabilities(
+        fixture.classifier.forEachCapability(
                 (invoker, capability, unreported, confirmed, refuted) ->
                         refutedCounts.put(invoker + capability, refuted));
         assertEquals(1, refutedCounts.get("i0START"));
@@ -89,7 +90,8 @@
         for (int i = 0; i < 31; i++) {
             believedStart("f", "i0", RUN, StartKind.COLD);
         }
-        WarnOfCapability warning = new WarnOfCapability("i0", DeclaredCapability.START, false);
+        WarnOfMissingCapability warning =
+                new WarnOfMissingCapability("i0", DeclaredCapability.START, false);
         assertEquals(List.of(warning), fixture.warningsOf(DeclaredCapability.START), "once");
         assertEquals(StartKind.UNKNOWN, believedStart("f", "i0", RUN, StartKind.WARM));
     }
--- a/src/test/java/waytrestle/responses/ClassifierFixture.java
+++ b/src/test/java/waytrestle/responses/ClassifierFixture.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
-import waytrestle.responses.ClassifierCommand.RejectFast;
+import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierCommand.UpdateEndpoints;
-import waytrestle.responses.ClassifierCommand.WarnOfCapability;
+import waytrestle.responses.ClassifierCommand.WarnOfMissingCapability;
 import waytrestle.responses.ClassifierCommand.WithholdAttempt;
 import waytrestle.responses.ClassifierEvent.AttemptCompleted;
 import waytrestle.responses.ClassifierEvent.AttemptRequested;
@@ -44,7 +44,7 @@
             new HealthTrackingClassifier(
                     settings(100), preloading(false), LoadReportSource.RESPONSES, 1);
     private final List<ClassifierCommand> commands = new ArrayList<>();
-    private final List<WarnOfCapability> warnings = new ArrayList<>();
+    private final List<WarnOfMissingCapability> warnings = new ArrayList<>();
     private long nowMicros = SECOND;
     private long requests;
 
@@ -99,13 +99,13 @@
 
     private void record(ClassifierCommand command) {
         commands.add(command);
-        if (command instanceof WarnOfCapability warning) {
+        if (command instanceof WarnOfMissingCapability warning) {
             warnings.add(warning);
         }
     }
 
     /** All warnings of one declared capability so far. */
-    List<WarnOfCapability> warningsOf(DeclaredCapability capability) {
+    List<WarnOfMissingCapability> warningsOf(DeclaredCapability capability) {
         return warnings.stream().filter(each -> each.capability() == capability).toList();
     }
 
@@ -114,43 +114,43 @@
     }
 
     /** The first command of this type that the last event led to, or null. */
-    <T extends ClassifierCommand> T command(Class<T> type) {
+    <T extends ClassifierCommand> T firstCommand(Class<T> type) {
         return commands.stream().filter(type::isInstance).map(type::cast).findFirst().orElse(null);
     }
 
     /** State of the first endpoint of the list that the scheduler was sent. */
     EndpointState firstVisibleState() {
-        return command(UpdateEndpoints.class).update().entries().get(0).state();
+        return firstCommand(UpdateEndpoints.class).update().entries().get(0).state();
     }
 
     /** Sends an attempt and lets it end; null where it was withheld. */
-    Classification attempt(
+    Classification runAttempt(
             AttemptKey attempt, Response response, long latencyMicros, InvokerLoadReport report) {
         long requestId = attempt.requestId();
         int number = attempt.attempt();
         handle(new AttemptRequested(requestId, number, response.invoker()));
-        if (command(WithholdAttempt.class) != null) {
+        if (firstCommand(WithholdAttempt.class) != null) {
             return null;
         }
         advance(latencyMicros);
         handle(new AttemptCompleted(requestId, number, response.result(), report));
-        return command(CompleteAttempt.class).classification();
+        return firstCommand(CompleteAttempt.class).classification();
     }
 
     /**
      * A whole request with attempts until a classification ends it; null where it was not admitted.
      * The commands are those of the last attempt and of the request's end.
      */
-    Classification request(String function, Response... responses) {
+    Classification runRequest(String function, Response... responses) {
         long requestId = newRequestId();
         startRequest(requestId, function);
-        if (command(RejectFast.class) != null) {
+        if (firstCommand(RejectRequest.class) != null) {
             return null;
         }
         Classification classification = null;
         for (int i = 0; i < responses.length; i++) {
             AttemptKey attempt = new AttemptKey(requestId, i);
-            classification = attempt(attempt, responses[i], LATENCY, InvokerLoadReport.EMPTY);
+            classification = runAttempt(attempt, responses[i], LATENCY, InvokerLoadReport.EMPTY);
             if (classification != null && classification.endsRequest()) {
                 break;
             }
@@ -165,13 +165,13 @@
     }
 
     /** A served request with one attempt; what was believed of its report. */
-    InvokerLoadReport serve(
+    InvokerLoadReport serveRequest(
             String function, String invoker, long latencyMicros, InvokerLoadReport report) {
         long requestId = newRequestId();
         handle(new RequestStarted(requestId, function, DECLARED_CONCURRENCY, 100 * MILLISECOND, 0));
         AttemptKey attempt = new AttemptKey(requestId, 0);
-        attempt(attempt, response(invoker, SERVED), latencyMicros, report);
-        InvokerLoadReport believed = command(CompleteAttempt.class).loadReport();
+        runAttempt(attempt, response(invoker, SERVED), latencyMicros, report);
+        InvokerLoadReport believed = firstCommand(CompleteAttempt.class).loadReport();
         handle(new RequestCompleted(requestId, true));
         return believed;
     }
--- a/src/test/java/waytrestle/responses/FunctionCircuitTest.java
+++ b/src/test/java/waytrestle/responses/FunctionCircuitTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
-import waytrestle.responses.ClassifierCommand.RejectFast;
+import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierEvent.RequestCompleted;
 
 /** When requests of a function that fails everywhere are rejected, and when they are not. */
@@ -28,13 +28,14 @@
     private void openCircuit(String function) {
         fixture.handle(readyInvokers(4));
         for (int i = 0; i < FAILURES_THAT_OPEN; i++) {
-            assertNotNull(fixture.request(function, response("i0", ERROR), response("i1", ERROR)));
+            assertNotNull(
+                    fixture.runRequest(function, response("i0", ERROR), response("i1", ERROR)));
         }
     }
 
     private void failSecondProbe(String function) {
         fixture.startRequest(SECOND_PROBE, function);
-        fixture.attempt(
+        fixture.runAttempt(
                 new AttemptKey(SECOND_PROBE, 0),
                 response("i0", ERROR),
                 MILLISECOND,
@@ -45,9 +46,9 @@
     @Test
     void requestsOfAFunctionThatFailsEverywhereAreRejectedWithItsLastResult() {
         openCircuit("f");
-        assertNull(fixture.request("f", response("i0", SERVED)));
-        assertEquals("500", fixture.command(RejectFast.class).lastResult().text());
-        assertNotNull(fixture.request("g", response("i0", SERVED)), "others go on");
+        assertNull(fixture.runRequest("f", response("i0", SERVED)));
+        assertEquals("500", fixture.firstCommand(RejectRequest.class).lastFailureResult().text());
+        assertNotNull(fixture.runRequest("g", response("i0", SERVED)), "others go on");
         assertEquals(1, fixture.classifier.openCircuits());
     }
 
@@ -56,12 +57,12 @@
         openCircuit("f");
         fixture.advance(AFTER_FIRST_PAUSE);
         fixture.startRequest(FIRST_PROBE, "f");
-        assertNotNull(fixture.command(AdmitRequest.class), "the probe");
+        assertNotNull(fixture.firstCommand(AdmitRequest.class), "the probe");
         fixture.startRequest(901, "f");
-        assertNotNull(fixture.command(RejectFast.class), "one at a time");
+        assertNotNull(fixture.firstCommand(RejectRequest.class), "one at a time");
         fixture.handle(new RequestCompleted(FIRST_PROBE, false));
         fixture.startRequest(SECOND_PROBE, "f");
-        assertNotNull(fixture.command(AdmitRequest.class), "the first probe showed nothing");
+        assertNotNull(fixture.firstCommand(AdmitRequest.class), "the first probe showed nothing");
     }
 
     @Test
@@ -70,7 +71,8 @@
         fixture.advance(AFTER_FIRST_PAUSE);
         failSecondProbe("f");
         fixture.startRequest(903, "f");
-        assertTrue(fixture.command(RejectFast.class).retryAfterMicros() > 400 * MILLISECOND);
+        assertTrue(
+                fixture.firstCommand(RejectRequest.class).retryAfterMicros() > 400 * MILLISECOND);
     }
 
     @Test
@@ -81,7 +83,7 @@
         fixture.handle(new RequestCompleted(FIRST_PROBE, false));
         failSecondProbe("f");
         fixture.advance(600 * MILLISECOND);
-        assertTrue(fixture.request("f", response("i2", SERVED)).endsRequest());
+        assertTrue(fixture.runRequest("f", response("i2", SERVED)).endsRequest());
         assertEquals(0, fixture.classifier.openCircuits());
         assertEquals(0, fixture.classifier.ejectedInvokers());
         assertEquals(0, fixture.classifier.retainedEntries());
@@ -96,7 +98,7 @@
             String firstInvoker = "i" + random.nextInt(4);
             String secondInvoker = "i" + random.nextInt(4);
             ExchangeResult second = random.nextInt(10) < 3 ? ERROR : SERVED;
-            fixture.request("f", response(firstInvoker, first), response(secondInvoker, second));
+            fixture.runRequest("f", response(firstInvoker, first), response(secondInvoker, second));
         }
         assertEquals(0, fixture.classifier.ejectedInvokers(), "all invokers fail alike");
         assertEquals(0, fixture.classifier.openCircuits());
--- a/src/test/java/waytrestle/responses/FunctionRecordTest.java
+++ b/src/test/java/waytrestle/responses/FunctionRecordTest.java
@@ -74,7 +74,7 @@
 
     private AdmitRequest admit(long id, String function, int declaredConcurrency, long loadMicros) {
         fixture.handle(new RequestStarted(id, function, declaredConcurrency, loadMicros, 0));
-        return fixture.command(AdmitRequest.class);
+        return fixture.firstCommand(AdmitRequest.class);
     }
 
     @Test
--- a/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
+++ b/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
@@ -31,7 +31,7 @@
     void aRejectionEndsTheRequestAtOnceAndIsHeldAgainstNobody() {
         fixture.handle(readyInvokers(3));
         for (int i = 0; i < 50; i++) {
-            Classification rejection = fixture.request("f", response("i0", REJECTED));
+            Classification rejection = fixture.runRequest("f", response("i0", REJECTED));
             assertTrue(rejection.endsRequest());
             assertTrue(rejection.functionError());
             assertEquals(ResponseCode.REJECTED, rejection.code());
@@ -44,8 +44,9 @@
     @Test
     void aFailureEndsTheRequestWhenTwoInvokersAgreeAndNotBefore() {
         fixture.handle(readyInvokers(3));
-        assertFalse(fixture.request("f", response("i0", ERROR)).endsRequest());
-        Classification agreed = fixture.request("g", response("i0", ERROR), response("i1", ERROR));
+        assertFalse(fixture.runRequest("f", response("i0", ERROR)).endsRequest());
+        Classification agreed =
+                fixture.runRequest("g", response("i0", ERROR), response("i1", ERROR));
         assertTrue(agreed.endsRequest());
         assertTrue(agreed.functionError());
         assertEquals(ResponseCode.ERROR, agreed.code());
@@ -55,11 +56,11 @@
     void failuresThatDifferEndTheRequestAtTheThirdOnly() {
         fixture.handle(readyInvokers(3));
         assertFalse(
-                fixture.request("h", response("i0", ERROR), response("i1", CONNECTION_LOST))
+                fixture.runRequest("h", response("i0", ERROR), response("i1", CONNECTION_LOST))
                         .endsRequest(),
                 "they do not agree");
         assertTrue(
-                fixture.request(
+                fixture.runRequest(
                                 "k",
                                 response("i0", ERROR),
                                 response("i1", CONNECTION_LOST),
@@ -72,23 +73,23 @@
     void aFunctionIsNotFoundWhenTwoInvokersDoNotKnowIt() {
         fixture.handle(readyInvokers(3));
         Classification notFound =
-                fixture.request("f", response("i0", NOT_FOUND), response("i1", NOT_FOUND));
+                fixture.runRequest("f", response("i0", NOT_FOUND), response("i1", NOT_FOUND));
         assertTrue(notFound.endsRequest());
         assertTrue(notFound.functionNotFound());
         assertEquals(ResponseCode.NOT_LOADED, notFound.code());
         assertFalse(
-                fixture.request("g", response("i0", NOT_FOUND), response("i0", NOT_FOUND))
+                fixture.runRequest("g", response("i0", NOT_FOUND), response("i0", NOT_FOUND))
                         .endsRequest(),
                 "the same invoker counts once");
-        assertFalse(fixture.request("m", response("i0", NOT_FOUND)).endsRequest());
+        assertFalse(fixture.runRequest("m", response("i0", NOT_FOUND)).endsRequest());
     }
 
     @Test
     void aFunctionThatWasServedLatelyIsNeverNotFound() {
         fixture.handle(readyInvokers(3));
-        fixture.request("h", response("i2", SERVED));
+        fixture.runRequest("h", response("i2", SERVED));
         assertFalse(
-                fixture.request("h", response("i0", NOT_FOUND), response("i1", NOT_FOUND))
+                fixture.runRequest("h", response("i0", NOT_FOUND), response("i1", NOT_FOUND))
                         .endsRequest());
     }
 
@@ -96,13 +97,13 @@
     void aPreloadRefusedAsUnknownEndsTheRequestsThatFoundNoInstance() {
         fixture.handle(readyInvokers(3));
         fixture.startRequest(800, "k");
-        fixture.attempt(
+        fixture.runAttempt(
                 new AttemptKey(800, 0),
                 response("i0", NOT_FOUND),
                 MILLISECOND,
                 InvokerLoadReport.EMPTY);
         fixture.handle(new PreloadCompleted("i0", "k", NOT_FOUND, -1, MILLISECOND, 0));
-        assertEquals(800, fixture.command(FailFunctionNotFound.class).requestId());
+        assertEquals(800, fixture.firstCommand(FailFunctionNotFound.class).requestId());
     }
 
     @Test
@@ -114,7 +115,7 @@
             fixture.startRequest(requestId, "f");
             for (int attempt = 0; attempt < 5; attempt++) {
                 fixture.handle(new AttemptRequested(requestId, attempt, "i" + attempt));
-                if (fixture.command(ForwardAttempt.class) != null) {
+                if (fixture.firstCommand(ForwardAttempt.class) != null) {
                     forwarded++;
                     fixture.handle(
                             new AttemptCompleted(
--- a/src/test/java/waytrestle/responses/OutlierEjectionTest.java
+++ b/src/test/java/waytrestle/responses/OutlierEjectionTest.java
@@ -32,8 +32,8 @@
         for (int i = 0; i < 400; i++) {
             String failing = "i" + i % 6;
             String working = "i" + (6 + i % 4);
-            fixture.request("f" + i % 7, response(failing, ERROR), response(working, SERVED));
-            if (fixture.command(ReportEjection.class) != null) {
+            fixture.runRequest("f" + i % 7, response(failing, ERROR), response(working, SERVED));
+            if (fixture.firstCommand(ReportEjection.class) != null) {
                 ejections++;
             }
         }
@@ -43,7 +43,7 @@
     private void ejectFirstOfFour() {
         fixture.handle(readyInvokers(4));
         for (int i = 0; i < 10; i++) {
-            fixture.request("f" + i, response("i0", ERROR), response("i1", SERVED));
+            fixture.runRequest("f" + i, response("i0", ERROR), response("i1", SERVED));
         }
         assertEquals(1, fixture.classifier.ejectedInvokers());
     }
@@ -62,8 +62,8 @@
         fixture.handle(new TimerExpired());
         assertEquals(0, fixture.classifier.ejectedInvokers());
         assertEquals(EndpointState.READY, fixture.firstVisibleState());
-        fixture.request("new", response("i0", ERROR), response("i7", SERVED));
-        ReportEjection ejection = fixture.command(ReportEjection.class);
+        fixture.runRequest("new", response("i0", ERROR), response("i7", SERVED));
+        ReportEjection ejection = fixture.firstCommand(ReportEjection.class);
         assertNotNull(ejection, "ejected again");
         assertTrue(ejection.durationMicros() > 5 * SECOND, "and for longer");
     }
@@ -91,30 +91,30 @@
         for (int i = 0; i < 40; i++) {
             String working = "i" + (1 + i % 5);
             String nextWorking = "i" + (1 + (i + 1) % 5);
-            fixture.request("failing", response(working, ERROR), response(nextWorking, ERROR));
-            fixture.request("f" + i % 5, response("i0", ERROR), response(working, SERVED));
+            fixture.runRequest("failing", response(working, ERROR), response(nextWorking, ERROR));
+            fixture.runRequest("f" + i % 5, response("i0", ERROR), response(working, SERVED));
             fixture.advance(20 * MILLISECOND);
         }
         assertEquals(1, fixture.classifier.openCircuits());
         assertEquals(1, fixture.classifier.ejectedInvokers());
-        assertNotNull(fixture.request("f1", response("i2", SERVED)));
+        assertNotNull(fixture.runRequest("f1", response("i2", SERVED)));
     }
 
     @Test
     void anInvokerThatRejectsWhatOthersServeIsEjectedYetBadInputEjectsNone() {
         fixture.handle(readyInvokers(4));
         for (int i = 0; i < 60; i++) {
-            fixture.request("f", response("i" + i % 4, SERVED));
+            fixture.runRequest("f", response("i" + i % 4, SERVED));
         }
         for (int i = 0; i < 60; i++) {
-            fixture.request("f", response("i" + i % 4, i % 4 == 0 ? REJECTED : SERVED));
+            fixture.runRequest("f", response("i" + i % 4, i % 4 == 0 ? REJECTED : SERVED));
             fixture.advance(20 * MILLISECOND);
         }
         assertEquals(1, fixture.classifier.ejectedInvokers());
         fixture.advance(60 * SECOND);
         fixture.handle(new TimerExpired());
         for (int i = 0; i < 400; i++) {
-            fixture.request("g", response("i" + i % 4, i > 100 ? REJECTED : SERVED));
+            fixture.runRequest("g", response("i" + i % 4, i > 100 ? REJECTED : SERVED));
             fixture.advance(5 * MILLISECOND);
         }
         assertEquals(0, fixture.classifier.ejectedInvokers(), "all reject: it is the input");
