--- a/src/main/java/waytrestle/requests/AdmissionControl.java
+++ b/src/main/java/waytrestle/requests/AdmissionControl.java
@@ -3,49 +3,59 @@
 import waytrestle.requests.RequestOutcome.Reason;
 
 /**
- * Sheds load that exceeds what the fleet can serve: decides whether a new request, or one more
- * attempt, reaches the scheduler at all. Where a request runs, and whether it can finish in time,
- * remains the scheduler's decision.
+ * Sheds load that exceeds the capacity of the invokers: decides whether a new request is given to
+ * the scheduler, and whether a request may be retried at another invoker. The scheduler decides
+ * which invoker runs an admitted request, and whether the request can finish in time.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>Times are monotonic, in microseconds. Tenants and request classes are given by their indices
+ * in the scheduler settings; a tenant of -1 means none. Not thread-safe: used by the controller's
+ * event loop.
  */
 public interface AdmissionControl {
-    /** Admits everything. */
+    /** Admits every request and every retry. */
     AdmissionControl ADMIT_ALL = new AdmissionControl() {};
 
     /**
-     * Why a new request is rejected, or null if it is admitted.
+     * Returns the reason why a new request is rejected, or null if the request is admitted.
      *
-     * @param retryMark recognises a client's retry of a rejected request, 0 without one
+     * @param retryFingerprint value by which a client's retry of a rejected request is recognised;
+     *     0 if the request has none
      */
-    default Reason rejectionReason(long nowMicros, int tenant, int requestClass, long retryMark) {
+    default Reason rejectionReason(
+            long nowMicros, int tenant, int requestClass, long retryFingerprint) {
         return null;
     }
 
-    /** An admitted request is in flight. */
+    /** Records that an admitted request is now in flight. */
     default void requestStarted(long nowMicros, int tenant, int requestClass) {}
 
     /**
-     * A request that was started has its outcome.
+     * Records that a request reported by {@link #requestStarted} has its outcome.
      *
-     * @param timedOut whether its deadline was exceeded
+     * @param retryFingerprint the value given to {@link #rejectionReason} for the request
+     * @param rejected whether the outcome is a rejection
+     * @param timedOut whether the request failed because its deadline was exceeded
      */
     default void requestCompleted(
             long nowMicros,
             int tenant,
             int requestClass,
-            long retryMark,
+            long retryFingerprint,
             boolean rejected,
             boolean timedOut) {}
 
     /**
-     * Whether a further attempt of a request may be forwarded; not asked when the last invoker did
-     * not have the function loaded.
+     * Returns whether a retry of a request may be forwarded to an invoker. Not called for a retry
+     * that follows an attempt at an invoker without a loaded instance of the function.
      */
     default boolean admitsRetry(long nowMicros) {
         return true;
     }
 
-    /** An attempt that found a loaded instance of the function was served. */
-    default void warmResponseServed(long nowMicros, String function, long tookMicros) {}
+    /**
+     * Records that an attempt was served by a function instance that was already loaded.
+     *
+     * @param responseMicros time that the response took
+     */
+    default void warmResponseServed(long nowMicros, String function, long responseMicros) {}
 }
--- a/src/main/java/waytrestle/requests/AttemptLog.java
+++ b/src/main/java/waytrestle/requests/AttemptLog.java
@@ -7,22 +7,23 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * The attempts of one request: which are in flight, how the last one ended, and since when the
- * function may have run.
+ * Records the attempts of one request: which are in flight, how the last one ended, and since when
+ * the function may have run.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>An attempt is identified by its number within the request, counted from 0. Times are
+ * monotonic, in microseconds. Not thread-safe: used by the controller's event loop.
  */
 final class AttemptLog {
-    /** In place of a time: no attempt may have run. */
+    /** Stands for a missing time: every attempt is proved not to have run. */
     static final long NEVER = 0;
 
     private static final class Attempt {
-        final long forwardedAt;
+        final long forwardedAtMicros;
         boolean inFlight;
         boolean sent;
 
-        Attempt(long forwardedAt) {
-            this.forwardedAt = forwardedAt;
+        Attempt(long forwardedAtMicros) {
+            this.forwardedAtMicros = forwardedAtMicros;
         }
 
         boolean mayStillRun() {
@@ -30,18 +31,25 @@
         }
     }
 
-    /** By attempt number; a number that was never forwarded is not in flight. */
+    /**
+     * Indexed by attempt number. A number that was never forwarded has no element, or one that is
+     * not in flight.
+     */
     private final List<Attempt> attempts = new ArrayList<>(2);
 
     private int forwardedAttempts;
 
-    /** When the first completed attempt that is not proved never to have run was forwarded. */
-    private long completedMayHaveRunSince = NEVER;
+    /**
+     * Forwarding time of the earliest failed attempt that may have run, {@link #NEVER} if there is
+     * none.
+     */
+    private long completedMayHaveRunSinceMicros = NEVER;
 
     private ResponseCode lastCode;
     private String lastResponseText = "";
     private FunctionError functionError;
 
+    /** Records that an attempt was forwarded, and is in flight until its end is recorded. */
     void recordForwarded(int number, long nowMicros) {
         while (attempts.size() <= number) {
             attempts.add(new Attempt(nowMicros));
@@ -50,39 +58,50 @@
         forwardedAttempts++;
     }
 
-    /** Nothing of the attempt has been written so far: if it is withdrawn now, it has not run. */
+    /**
+     * Records that an attempt in flight waits for its connection: nothing of it has been written,
+     * so the function has not run if the attempt is withdrawn now.
+     */
     void recordWaiting(int number) {
         if (isInFlight(number)) {
             attempts.get(number).sent = false;
         }
     }
 
-    /** The attempt may be written, and may run, from now on. */
+    /** Records that an attempt in flight may be written from now on, so the function may run. */
     void recordSent(int number) {
         if (isInFlight(number)) {
             attempts.get(number).sent = true;
         }
     }
 
-    /** Records what came back last, also of an attempt that was withheld. */
+    /**
+     * Records how an attempt ended; called also for an attempt that was withheld, that is, never
+     * forwarded.
+     *
+     * @param responseText HTTP status of the response, or a word in place of one
+     */
     void recordResponse(ResponseCode code, String responseText) {
         lastCode = code;
-        // An attempt that was not sent has no response: the last real one says more.
+        // An attempt that was not sent has no response, so the previous response text is more
+        // informative.
         if (code != ResponseCode.NOT_SENT || lastResponseText.isEmpty()) {
             lastResponseText = responseText;
         }
     }
 
     /**
-     * Records the end of an attempt in flight without a response to pass on.
+     * Records that an attempt in flight ended without a response of the function.
      *
-     * @param error the function's own error, or null if the attempt ended otherwise
+     * @param error the error returned by the function itself, or null if the attempt ended
+     *     otherwise
      */
     void recordFailure(int number, ResponseCode code, FunctionError error) {
         Attempt attempt = attempts.get(number);
         attempt.inFlight = false;
         if (!code.provesNotRun()) {
-            completedMayHaveRunSince = earlier(completedMayHaveRunSince, attempt.forwardedAt);
+            completedMayHaveRunSinceMicros =
+                    earlier(completedMayHaveRunSinceMicros, attempt.forwardedAtMicros);
         }
         functionError = error;
     }
@@ -100,38 +119,40 @@
         return false;
     }
 
+    /** Returns whether the function may still be running for an attempt in flight. */
     boolean anyMayStillRun() {
         return attempts.stream().anyMatch(Attempt::mayStillRun);
     }
 
     /**
-     * When the first attempt that has run, may have run or may still run was forwarded; {@link
-     * #NEVER} if the function is proved not to have run.
+     * Returns the forwarding time of the earliest attempt that may have run or may still run, or
+     * {@link #NEVER} if the function is proved not to have run.
      */
     long mayHaveRunSinceMicros() {
-        long first = completedMayHaveRunSince;
+        long earliestMicros = completedMayHaveRunSinceMicros;
         for (Attempt attempt : attempts) {
             if (attempt.mayStillRun()) {
-                first = earlier(first, attempt.forwardedAt);
+                earliestMicros = earlier(earliestMicros, attempt.forwardedAtMicros);
             }
         }
-        return first;
+        return earliestMicros;
     }
 
     boolean mayHaveRun() {
         return mayHaveRunSinceMicros() != NEVER;
     }
 
-    /** How the attempt that completed last ended, or null before the first one has. */
+    /** Returns how the last attempt to end has ended, or null before any has. */
     ResponseCode lastCode() {
         return lastCode;
     }
 
+    /** Returns the text of the last response: an HTTP status, a word, or empty without any. */
     String lastResponseText() {
         return lastResponseText;
     }
 
-    /** The function's own error if the attempt that failed last ended with one, else null. */
+    /** Returns the function's own error if the last failed attempt ended with one, else null. */
     FunctionError functionError() {
         return functionError;
     }
@@ -140,7 +161,9 @@
         return new AttemptSummary(forwardedAttempts, lastResponseText);
     }
 
-    private static long earlier(long known, long candidate) {
-        return known == NEVER ? candidate : Math.min(known, candidate);
+    private static long earlier(long recordedMicros, long candidateMicros) {
+        return recordedMicros == NEVER
+                ? candidateMicros
+                : Math.min(recordedMicros, candidateMicros);
     }
 }
--- a/src/main/java/waytrestle/requests/IdempotencyEntry.java
+++ b/src/main/java/waytrestle/requests/IdempotencyEntry.java
@@ -8,27 +8,31 @@
 import waytrestle.scheduler.Idempotency;
 
 /**
- * What the idempotency store knows of one key: the request in flight or its outcome.
+ * The idempotency store's entry for one idempotency key: the request in flight, or the outcome of
+ * the completed request.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>Times are monotonic, in microseconds. Not thread-safe: used by the controller's event loop.
  */
 final class IdempotencyEntry {
-    /** In place of a request's number: the request has completed. */
+    /** Stands for a missing request id: the request has completed. */
     private static final long NONE_IN_FLIGHT = 0;
 
-    /** Bytes that an entry takes beside its key and its response, estimated. */
+    /** Estimated memory of an entry without its key and its response body. */
     static final int OVERHEAD_BYTES = 200;
 
     private static final long BYTES_PER_CHARACTER = 2;
 
     final KeyedRequest request;
 
-    /** When the first attempt that may have run was forwarded. */
+    /**
+     * Forwarding time of the first attempt with this key that may have run, {@link
+     * AttemptLog#NEVER} if there is none.
+     */
     long mayHaveRunSinceMicros = AttemptLog.NEVER;
 
     private long requestId;
     private RequestOutcome outcome;
-    private long completedAt;
+    private long completedAtMicros;
 
     IdempotencyEntry(KeyedRequest request, long requestId) {
         this.request = request;
@@ -43,12 +47,13 @@
         return requestId;
     }
 
+    /** Returns the outcome, or null while the request is in flight. */
     RequestOutcome outcome() {
         return outcome;
     }
 
     long completedAtMicros() {
-        return completedAt;
+        return completedAtMicros;
     }
 
     boolean isIdempotent() {
@@ -58,10 +63,13 @@
     void complete(RequestOutcome requestOutcome, long nowMicros) {
         requestId = NONE_IN_FLIGHT;
         outcome = requestOutcome;
-        completedAt = nowMicros;
+        completedAtMicros = nowMicros;
     }
 
-    /** Drops the response but not that there was one; the bytes that this frees. */
+    /**
+     * Replaces a response body by a failure that tells that the request was served, and returns the
+     * number of bytes freed.
+     */
     long evictResponse() {
         long freedBytes = responseBytes();
         if (freedBytes > 0 || outcome instanceof Served) {
@@ -70,10 +78,12 @@
         return freedBytes;
     }
 
+    /** Returns the estimated memory of the entry in bytes. */
     long bytes() {
         return OVERHEAD_BYTES + BYTES_PER_CHARACTER * request.key().length() + responseBytes();
     }
 
+    /** Returns the size of the response body in bytes, 0 without one. */
     long responseBytes() {
         if (outcome instanceof Served served) {
             return served.body().size();
--- a/src/main/java/waytrestle/requests/IdempotencyStore.java
+++ b/src/main/java/waytrestle/requests/IdempotencyStore.java
@@ -11,31 +11,38 @@
 import waytrestle.scheduler.Idempotency;
 
 /**
- * The idempotency keys of recent requests, so that a repeated request is not run again. While the
- * first request is in flight a repeat joins it; after an outcome that may have run the repeat gets
- * the same outcome; after a rejection it is a new request.
+ * Remembers the idempotency keys of recent requests, so that a repeat (a further request with a
+ * known key) does not run the function again. While the first request is in flight, a repeat joins
+ * it. After the first request has completed, a repeat gets the same outcome. Only after a
+ * rejection, or after all clients of the first request have left, is a repeat a new request,
+ * provided that running it is harmless.
  *
- * <p>Bounded in entries and bytes. At the bound, completed idempotent requests are evicted first
- * with their entries (running them again does no harm), then the responses of other requests, whose
- * entries stay (a repeat is notified that it was served). The entry of a request that must not run
- * twice is never evicted early: when only such entries are left, new requests are rejected.
+ * <p>The store is bounded in entries and bytes. When a bound is reached, the completed entries of
+ * idempotent requests are evicted first, since running such a request again is harmless. Then the
+ * response bodies of other requests are evicted, but their entries are kept, so that a repeat still
+ * fails instead of running again. The entry of a non-idempotent or keyed request is never evicted
+ * before it expires: when only such entries are left, new requests are rejected.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>Names ending in Micros are monotonic times or durations in microseconds, names ending in
+ * Seconds are wall-clock times or durations in seconds. Not thread-safe: used by the controller's
+ * event loop.
  */
 public final class IdempotencyStore {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     /**
-     * Retry-After when the store is full, as a fraction of the tolerance after which entries
-     * expire: some of them have expired by then.
+     * Divisor of the signature tolerance that yields Retry-After when the store is full: entries
+     * expire one tolerance after completion, so some have expired after a tenth of it.
      */
     private static final long FULL_RETRY_AFTER_DIVISOR = 10;
 
     /**
      * The bounds of a store.
      *
-     * @param signatureToleranceSeconds how far a signing time may lie from the wall clock, either
-     *     way
+     * @param maxEntries largest number of idempotency keys
+     * @param maxBytes largest estimated memory of all entries
+     * @param signatureToleranceSeconds largest accepted difference between a signing time and the
+     *     wall clock, in either direction; completed entries expire no earlier than after it
      */
     public record Bounds(int maxEntries, long maxBytes, long signatureToleranceSeconds) {
         long toleranceMicros() {
@@ -44,12 +51,14 @@
     }
 
     /**
-     * A request with an idempotency key, as it arrives.
+     * What identifies a request with an idempotency key when it arrives.
      *
-     * @param deduplicationWindowMicros how long invokers drop duplicates of the key
-     * @param signedAtSeconds wall-clock time at which the client signed it, {@link #UNSIGNED} where
-     *     the protocol has no signatures: then a key is new whenever it is not known, and is
-     *     forgotten by the monotonic clock alone
+     * @param deduplicationWindowMicros how long invokers drop duplicates of an idempotency key
+     * @param signedAtSeconds wall-clock time at which the client signed the request, {@link
+     *     #UNSIGNED} where the protocol has no signatures: an unsigned request is new whenever its
+     *     key is unknown, and its entry expires by the monotonic clock alone
+     * @param payloadDigest digest of the payload, by which requests with equal keys but different
+     *     payloads are told apart
      */
     public record KeyedRequest(
             String key,
@@ -57,7 +66,7 @@
             long deduplicationWindowMicros,
             long signedAtSeconds,
             long payloadDigest) {
-        /** In place of a signing time. */
+        /** Stands for a missing signing time. */
         public static final long UNSIGNED = Long.MIN_VALUE;
 
         boolean isSigned() {
@@ -65,69 +74,90 @@
         }
     }
 
-    /** What the store knows of a request that arrives. */
+    /** The result of looking up a request that arrives. */
     public sealed interface LookupResult {
         /**
          * The request is to be run.
          *
-         * @param deduplicatedUntilMicros when invokers cease to drop duplicates of an earlier
-         *     request that may have run, {@link #NO_LIMIT} without one
+         * @param deduplicatedUntilMicros monotonic time until which invokers drop duplicates of an
+         *     earlier request with the same key that may have run; {@link #NO_LIMIT} if no earlier
+         *     request may have run
          */
         record NewRequest(long deduplicatedUntilMicros) implements LookupResult {
+            /** Stands for a missing time: attempts are not limited to a deduplication window. */
             static final long NO_LIMIT = 0;
 
+            /** Returns whether the request may run only while invokers still drop duplicates. */
             boolean isLimited() {
                 return deduplicatedUntilMicros > NO_LIMIT;
             }
         }
 
-        /** The same request is in flight: join it. */
+        /** A request with the same key and payload is in flight, and the repeat is to join it. */
         record InFlight(long requestId) implements LookupResult {}
 
-        /** The request is not to be run: this is its outcome. */
+        /** The request is not to be run, and its outcome is already known. */
         record Completed(RequestOutcome outcome) implements LookupResult {}
     }
 
     private final Bounds bounds;
+
+    /** All entries, by idempotency key. */
     private final Map<String, IdempotencyEntry> entries = new HashMap<>();
+
+    /** Entries of requests in flight, by request id. */
     private final Map<Long, IdempotencyEntry> inFlight = new HashMap<>();
 
-    /** All completed entries, by time of completion. */
+    /** All completed entries, ordered by time of completion. */
     private final Set<IdempotencyEntry> completed = new LinkedHashSet<>();
 
-    /** Completed idempotent entries, by time of completion: may be evicted. */
+    /** Completed entries of idempotent requests, which may be evicted, by time of completion. */
     private final Set<IdempotencyEntry> evictable = new LinkedHashSet<>();
 
-    /** Other completed entries whose responses may be evicted, by time of completion. */
+    /**
+     * Completed entries of other requests, whose response bodies (if any) may be evicted, by time
+     * of completion.
+     */
     private final Set<IdempotencyEntry> evictableResponses = new LinkedHashSet<>();
 
+    /** Estimated memory of all entries. */
     private long bytes;
 
-    /** Wall-clock time: requests signed until then may have been forgotten. */
+    /**
+     * Wall-clock time in seconds: the store may have forgotten, or never known, requests signed at
+     * or before it.
+     */
     private long forgottenUntilSeconds;
 
-    /** Creates an empty store, which knows no request signed before now. */
+    /**
+     * Creates an empty store. Requests signed at or before its creation may have run unknown to it.
+     *
+     * @param wallSeconds wall-clock time of the creation
+     */
     public IdempotencyStore(Bounds bounds, long wallSeconds) {
         this.bounds = bounds;
         this.forgottenUntilSeconds = wallSeconds;
     }
 
-    /** Number of keys held. */
+    /** Returns the number of idempotency keys held. */
     public int size() {
         return entries.size();
     }
 
-    /** Number of outcomes held, never more than the keys. */
+    /** Returns the number of completed entries, which is at most {@link #size}. */
     int completedEntries() {
         return completed.size();
     }
 
-    /** Estimated memory of all entries. */
+    /** Returns the estimated memory of all entries in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** Looks a request up; a new one is not recorded before {@link #requestStarted}. */
+    /**
+     * Evicts expired entries, then looks up a request. Does not record a new request; {@link
+     * #requestStarted} does.
+     */
     public LookupResult lookUp(long nowMicros, long wallSeconds, KeyedRequest request) {
         evictExpired(nowMicros, wallSeconds);
         IdempotencyEntry known = entries.get(request.key());
@@ -135,14 +165,14 @@
     }
 
     private LookupResult lookUpUnknown(KeyedRequest request) {
-        boolean mayBeForgotten =
+        boolean mayHaveBeenForgotten =
                 request.isSigned() && request.signedAtSeconds() <= forgottenUntilSeconds;
-        if (mayBeForgotten && request.idempotency() != Idempotency.IDEMPOTENT) {
-            // Guards against a replay after a restart, or after the wall clock stepped back over
-            // what was evicted.
+        if (mayHaveBeenForgotten && request.idempotency() != Idempotency.IDEMPOTENT) {
+            // Prevents a replay after a restart, or after the wall clock has stepped back behind
+            // the signing times of expired entries.
             return new LookupResult.Completed(new Failed(Reason.SIGNED_BEFORE_STORE, true));
         }
-        if (!makeRoom()) {
+        if (!makeRoomForNewEntry()) {
             long retryAfterMicros = bounds.toleranceMicros() / FULL_RETRY_AFTER_DIVISOR;
             return new LookupResult.Completed(
                     new Rejected(Reason.IDEMPOTENCY_STORE_FULL, retryAfterMicros));
@@ -160,8 +190,8 @@
         if (!(known.outcome() instanceof Rejected)) {
             return new LookupResult.Completed(known.outcome());
         }
-        // Rejected although it may have run: only a request whose duplicates all invokers drop is,
-        // and they drop them within the deduplication window only.
+        // A request that may have run is rejected only if all invokers drop its duplicates, and
+        // they drop duplicates only within the deduplication window.
         long notAfterMicros = known.mayHaveRunSinceMicros + request.deduplicationWindowMicros();
         if (nowMicros < notAfterMicros) {
             return new LookupResult.NewRequest(notAfterMicros);
@@ -169,7 +199,7 @@
         return new LookupResult.Completed(new Failed(Reason.DEDUPLICATION_WINDOW_PASSED, true));
     }
 
-    /** Records a new request as in flight. */
+    /** Records a new request as in flight; an earlier entry with its key is replaced. */
     public void requestStarted(long requestId, KeyedRequest request) {
         IdempotencyEntry entry = new IdempotencyEntry(request, requestId);
         IdempotencyEntry previous = entries.get(request.key());
@@ -183,18 +213,19 @@
     }
 
     /**
-     * Records the outcome of a request; ignores requests that were never recorded.
+     * Records the outcome of a request; does nothing if the request has no entry in flight.
      *
-     * @param mayHaveRunSince when the first attempt that may have run was forwarded, 0 without one
+     * @param mayHaveRunSinceMicros forwarding time of the first attempt that may have run, {@link
+     *     AttemptLog#NEVER} if there is none
      */
     public void requestCompleted(
-            long nowMicros, long requestId, RequestOutcome outcome, long mayHaveRunSince) {
+            long nowMicros, long requestId, RequestOutcome outcome, long mayHaveRunSinceMicros) {
         IdempotencyEntry entry = inFlight.remove(requestId);
         if (entry == null) {
             return;
         }
         if (entry.mayHaveRunSinceMicros == AttemptLog.NEVER) {
-            entry.mayHaveRunSinceMicros = mayHaveRunSince;
+            entry.mayHaveRunSinceMicros = mayHaveRunSinceMicros;
         }
         if (isRepeatNew(entry, outcome)) {
             entries.remove(entry.request.key());
@@ -214,29 +245,31 @@
         }
     }
 
-    /** Whether a repeat after this outcome is a new request, of which nothing need be known. */
+    /** Returns whether a repeat after the outcome is a new request, so no entry is needed. */
     private static boolean isRepeatNew(IdempotencyEntry entry, RequestOutcome outcome) {
         boolean rejected = outcome instanceof Rejected;
         boolean abandoned = outcome instanceof Failed failed && failed.reason() == Reason.ABANDONED;
-        boolean harmless = entry.mayHaveRunSinceMicros == AttemptLog.NEVER || entry.isIdempotent();
-        return (rejected || abandoned) && harmless;
+        boolean isRerunHarmless =
+                entry.mayHaveRunSinceMicros == AttemptLog.NEVER || entry.isIdempotent();
+        return (rejected || abandoned) && isRerunHarmless;
     }
 
-    private boolean makeRoom() {
-        while (!hasRoom() && !evictable.isEmpty()) {
+    /** Evicts what may be evicted until a new entry fits; returns whether it fits. */
+    private boolean makeRoomForNewEntry() {
+        while (!hasRoomForNewEntry() && !evictable.isEmpty()) {
             evictOne();
         }
-        while (!hasBytesLeft() && !evictableResponses.isEmpty()) {
+        while (!hasBytesForNewEntry() && !evictableResponses.isEmpty()) {
             evictOne();
         }
-        return hasRoom();
+        return hasRoomForNewEntry();
     }
 
-    private boolean hasRoom() {
-        return entries.size() < bounds.maxEntries() && hasBytesLeft();
+    private boolean hasRoomForNewEntry() {
+        return entries.size() < bounds.maxEntries() && hasBytesForNewEntry();
     }
 
-    private boolean hasBytesLeft() {
+    private boolean hasBytesForNewEntry() {
         return bytes + IdempotencyEntry.OVERHEAD_BYTES <= bounds.maxBytes();
     }
 
@@ -244,6 +277,7 @@
         return !evictable.isEmpty() || !evictableResponses.isEmpty();
     }
 
+    /** Evicts the oldest entry of an idempotent request, or else the oldest response body. */
     private void evictOne() {
         if (!evictable.isEmpty()) {
             remove(evictable.iterator().next());
@@ -264,18 +298,19 @@
     }
 
     /**
-     * Removes the entries that no accepted signature can repeat. Both clocks must agree on that,
-     * since the wall clock may step.
+     * Removes completed entries whose signature is no longer accepted, so that no repeat can pass.
+     * An entry must have expired by the monotonic clock too, since the wall clock may step.
      */
     private void evictExpired(long nowMicros, long wallSeconds) {
         while (!completed.isEmpty()) {
             IdempotencyEntry entry = completed.iterator().next();
             long signedAtSeconds = entry.request.signedAtSeconds();
-            boolean agedOut = nowMicros - entry.completedAtMicros() > bounds.toleranceMicros();
+            boolean retentionExpired =
+                    nowMicros - entry.completedAtMicros() > bounds.toleranceMicros();
             boolean signatureExpired =
                     !entry.request.isSigned()
                             || wallSeconds - signedAtSeconds > bounds.signatureToleranceSeconds();
-            if (!agedOut || !signatureExpired) {
+            if (!retentionExpired || !signatureExpired) {
                 return;
             }
             remove(entry);
--- a/src/main/java/waytrestle/requests/OutcomeFactory.java
+++ b/src/main/java/waytrestle/requests/OutcomeFactory.java
@@ -9,8 +9,10 @@
 import waytrestle.requests.RequestOutcome.Rejected;
 
 /**
- * Creates the outcome of a request that has no response of its function. A rejection promises that
- * a retry is harmless; where that is not proved, the outcome is a failure.
+ * Creates the outcome of a request that was not served by its function. A rejection promises the
+ * client that a retry is harmless; where harmlessness is not proved, the outcome is a failure.
+ *
+ * <p>Times are monotonic, in microseconds. Not thread-safe: used by the controller's event loop.
  */
 final class OutcomeFactory {
     private final ReasonSelector reasons;
@@ -19,16 +21,18 @@
         this.reasons = reasons;
     }
 
+    /** Returns the outcome of a request that the scheduler rejected. */
     RequestOutcome schedulerRejection(
             PendingRequest request, SchedulerRejectedRequest event, long nowMicros) {
         if (request.attempts.functionError() != null) {
-            // The function's own error says more than that the time is up.
+            // The function's own error is more informative to the client than a rejection.
             return failure(request, nowMicros);
         }
         Reason reason = reasons.ofSchedulerRejection(request, event, nowMicros);
         return rejection(request, reason, event.retryAfterMicros(), nowMicros);
     }
 
+    /** Returns the outcome of a request rejected by the open circuit breaker of its function. */
     RequestOutcome circuitRejection(CircuitRejectedRequest event) {
         return new Rejected(
                 reasons.ofOpenCircuit(event),
@@ -36,16 +40,20 @@
                 new AttemptSummary(0, event.lastResponseText()));
     }
 
-    /** The outcome of a request whose last attempt ended after the scheduler had given it up. */
+    /** Returns the outcome of a detached request whose last attempt has failed. */
     RequestOutcome detachedCompletion(PendingRequest request, long nowMicros) {
         return rejection(request, reasons.ofLastAttempt(request.attempts), 0, nowMicros);
     }
 
+    /** Returns the outcome of a request still in flight when the shutdown grace period expires. */
     RequestOutcome shutdown(PendingRequest request, long nowMicros) {
         return rejection(request, Reason.SHUTTING_DOWN, 0, nowMicros);
     }
 
-    /** The function's own error if that came last, else a failure for what happened. */
+    /**
+     * Returns the function's own error if the last failed attempt ended with one, else a failure
+     * with the reason selected from the attempts.
+     */
     RequestOutcome failure(PendingRequest request, long nowMicros) {
         FunctionError error = request.attempts.functionError();
         if (error == null) {
@@ -59,21 +67,23 @@
                 request.attempts.summary());
     }
 
+    /** Returns a failure with the given reason. */
     RequestOutcome failure(PendingRequest request, Reason reason) {
         return new Failed(
                 reason, RetrySafety.mayHaveTakenEffect(request), request.attempts.summary());
     }
 
-    /** The outcome that a repeat finds after all clients have left. */
+    /** Returns the outcome of a request whose clients have all left, for its repeats. */
     RequestOutcome abandonment(PendingRequest request) {
         return new Failed(Reason.ABANDONED, request.attempts.mayHaveRun());
     }
 
-    /** For a client whose deadline comes before the end of the request that it has joined. */
+    /** Returns the outcome for a client whose deadline is before the end of the joined request. */
     RequestOutcome stillInFlight(boolean idempotent) {
         return new Failed(Reason.STILL_IN_FLIGHT, !idempotent);
     }
 
+    /** Returns a rejection if a retry is proved harmless, else a failure. */
     private RequestOutcome rejection(
             PendingRequest request, Reason reason, long retryAfterMicros, long nowMicros) {
         if (RetrySafety.isRetryHarmless(request, nowMicros + retryAfterMicros)) {
--- a/src/main/java/waytrestle/requests/ReasonSelector.java
+++ b/src/main/java/waytrestle/requests/ReasonSelector.java
@@ -5,18 +5,26 @@
 import waytrestle.requests.RequestOutcome.Reason;
 import waytrestle.scheduler.ResponseCode;
 
-/** Selects the reason that a client is given for a request without a response. */
+/**
+ * Selects the reason that a client is given for a request that was rejected or failed.
+ *
+ * <p>Times are monotonic, in microseconds. Not thread-safe: used by the controller's event loop.
+ */
 final class ReasonSelector {
     private final long expiryMarginMicros;
 
     /**
-     * @param expiryMarginMicros time left at or below which a request counts as expired
+     * @param expiryMarginMicros time left until its deadline at or below which a request counts as
+     *     expired
      */
     ReasonSelector(long expiryMarginMicros) {
         this.expiryMarginMicros = expiryMarginMicros;
     }
 
-    /** The scheduler's estimate where it rejected for that, else how the last attempt ended. */
+    /**
+     * Returns the reason of a rejection by the scheduler: from its estimate if the rejection was
+     * due to one, else from the attempts.
+     */
     Reason ofSchedulerRejection(
             PendingRequest request, SchedulerRejectedRequest event, long nowMicros) {
         if (event.hasEstimate()) {
@@ -31,7 +39,7 @@
         return ofLastAttempt(request.attempts);
     }
 
-    /** The reason of a request that failed without a response of the function. */
+    /** Returns the reason of a request that failed without a response of the function. */
     Reason ofFailure(PendingRequest request, long nowMicros) {
         if (request.deadlineMicros - nowMicros <= expiryMarginMicros) {
             return Reason.DEADLINE_EXCEEDED;
@@ -42,12 +50,16 @@
         return ofLastAttempt(request.attempts);
     }
 
+    /** Returns the reason of a request rejected by the open circuit breaker of its function. */
     Reason ofOpenCircuit(CircuitRejectedRequest event) {
         return ResponseKind.of(event.lastResponseText()) == ResponseKind.NOT_FOUND
                 ? Reason.FUNCTION_NOT_FOUND
                 : Reason.CIRCUIT_OPEN;
     }
 
+    /**
+     * Returns the reason that corresponds to how the last attempt ended, or to there being none.
+     */
     Reason ofLastAttempt(AttemptLog attempts) {
         ResponseCode lastCode = attempts.lastCode();
         if (lastCode == null) {
--- a/src/main/java/waytrestle/requests/RequestOutcome.java
+++ b/src/main/java/waytrestle/requests/RequestOutcome.java
@@ -5,14 +5,14 @@
 /** How a request ends for the clients that wait for it. */
 public sealed interface RequestOutcome {
     /**
-     * The attempts of a request.
+     * A summary of the attempts of a request.
      *
-     * @param forwardedAttempts number of attempts that were forwarded
+     * @param forwardedAttempts number of attempts that were forwarded to invokers
      * @param lastResponseText HTTP status of the last response, or a word in place of one; empty
-     *     without any
+     *     without a response
      */
     record AttemptSummary(int forwardedAttempts, String lastResponseText) {
-        /** No attempt was forwarded. */
+        /** The summary of a request of which no attempt was forwarded. */
         public static final AttemptSummary NONE = new AttemptSummary(0, "");
     }
 
@@ -24,16 +24,17 @@
     record Served(String contentType, Bytes body, int jsonBytes) implements RequestOutcome {
         private static final int NO_JSON_PART = -1;
 
-        /** A response that is no inference response. */
+        /** Creates a response that is not an inference response. */
         public Served(String contentType, byte[] body) {
             this(contentType, Bytes.of(body), NO_JSON_PART);
         }
     }
 
     /**
-     * The function's own error, passed on unchanged.
+     * An error returned by the function itself, passed on to the client unchanged.
      *
-     * @param mayHaveRun whether a retry may double an effect
+     * @param status HTTP status of the error
+     * @param mayHaveRun whether the request may have had an effect that a retry would double
      */
     record FunctionError(
             int status,
@@ -43,31 +44,36 @@
             AttemptSummary attemptSummary)
             implements RequestOutcome {}
 
-    /** Rejected without an effect that a retry could double: retrying is harmless. */
+    /**
+     * The request was rejected and has had no effect that a retry would double, so that a retry is
+     * harmless.
+     *
+     * @param retryAfterMicros time after which the client may retry, 0 if none is advised
+     */
     record Rejected(Reason reason, long retryAfterMicros, AttemptSummary attemptSummary)
             implements RequestOutcome {
-        /** A rejection before any attempt. */
+        /** Creates a rejection of a request of which no attempt was forwarded. */
         public Rejected(Reason reason, long retryAfterMicros) {
             this(reason, retryAfterMicros, AttemptSummary.NONE);
         }
     }
 
     /**
-     * Failed without a response of the function.
+     * The request failed without a response of the function.
      *
-     * @param mayHaveRun whether a retry may double an effect
+     * @param mayHaveRun whether the request may have had an effect that a retry would double
      */
     record Failed(Reason reason, boolean mayHaveRun, AttemptSummary attemptSummary)
             implements RequestOutcome {
-        /** A failure without any attempt to report. */
+        /** Creates a failure that reports no attempts. */
         public Failed(Reason reason, boolean mayHaveRun) {
             this(reason, mayHaveRun, AttemptSummary.NONE);
         }
     }
 
     /**
-     * Why a request was rejected or failed. Codes and descriptions are seen by clients, in metrics
-     * and in logs, and do not change with the names in the code.
+     * Why a request was rejected or failed. Codes and descriptions are part of the interface to
+     * clients, metrics and logs, and do not change when a constant is renamed.
      */
     enum Reason {
         NO_FINISH_IN_TIME("no-finish-in-time", "no invoker is expected to finish in the time left"),
@@ -115,12 +121,12 @@
             this.description = description;
         }
 
-        /** One sentence for the client. */
+        /** Returns an explanation of the reason for the client. */
         public String description() {
             return description;
         }
 
-        /** Its name in problem types, metrics and logs. */
+        /** Returns the name of the reason in problem types, metrics and logs. */
         public String code() {
             return code;
         }
--- a/src/main/java/waytrestle/requests/ResponseKind.java
+++ b/src/main/java/waytrestle/requests/ResponseKind.java
@@ -1,20 +1,20 @@
 package waytrestle.requests;
 
-/** What the text of a last response means for the reason of an outcome. */
+/** Classifies the text of the last response as far as the reason of an outcome depends on it. */
 enum ResponseKind {
-    /** It was no response of the invoker protocol. */
+    /** The response did not conform to the invoker protocol. */
     MALFORMED,
     /** The invoker does not know the function. */
     NOT_FOUND,
-    /** Anything else. */
+    /** Any other text, an empty one included. */
     OTHER;
 
-    /** The text that the response classifier gives to a malformed response. */
+    /** The text by which the response classifier stands for a malformed response. */
     private static final String MALFORMED_TEXT = "unreadable";
 
     private static final String NOT_FOUND_STATUS = "404";
 
-    /** Translates the text of a response: an HTTP status or a word in place of one. */
+    /** Returns the kind of a response text, which is an HTTP status or a word in place of one. */
     static ResponseKind of(String responseText) {
         return switch (responseText) {
             case MALFORMED_TEXT -> MALFORMED;
--- a/src/main/java/waytrestle/requests/RetrySafety.java
+++ b/src/main/java/waytrestle/requests/RetrySafety.java
@@ -4,19 +4,21 @@
 import waytrestle.scheduler.Idempotency;
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
-/** Whether a client may repeat a request without doubling its effect. */
+/** Decides whether a client may retry a request without doubling its effect. Stateless. */
 final class RetrySafety {
     private RetrySafety() {}
 
-    /** Whether the request may have had an effect that a further execution would double. */
+    /** Returns whether the request may have had an effect that a further execution would double. */
     static boolean mayHaveTakenEffect(PendingRequest request) {
         return request.attempts.mayHaveRun() && !request.isIdempotent();
     }
 
     /**
-     * Whether a retry that arrives at the given time is proved harmless: nothing has run, or
-     * running again has no further effect, or all invokers still drop duplicates of the idempotency
-     * key.
+     * Returns whether a client's retry that arrives at the given time is proved harmless: the
+     * function has not run, or the request is idempotent, or all invokers still drop duplicates of
+     * the idempotency key.
+     *
+     * @param retryAtMicros time of the retry on the monotonic clock
      */
     static boolean isRetryHarmless(PendingRequest request, long retryAtMicros) {
         if (!request.attempts.mayHaveRun() || request.isIdempotent()) {
@@ -26,8 +28,8 @@
         boolean allInvokersDeduplicate =
                 requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        long windowEnd =
+        long windowEndMicros =
                 request.attempts.mayHaveRunSinceMicros() + requestClass.deduplicationWindowMicros();
-        return allInvokersDeduplicate && retryAtMicros < windowEnd;
+        return allInvokersDeduplicate && retryAtMicros < windowEndMicros;
     }
 }
--- a/src/test/java/waytrestle/requests/AttemptLogTest.java
+++ b/src/test/java/waytrestle/requests/AttemptLogTest.java
@@ -8,7 +8,7 @@
 import waytrestle.requests.RequestOutcome.AttemptSummary;
 import waytrestle.scheduler.ResponseCode;
 
-/** What the log of a request's attempts says of them. */
+/** Checks what an attempt log reports of attempts that are in flight, failed or withheld. */
 class AttemptLogTest {
     private final AttemptLog attempts = new AttemptLog();
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void functionMayRunWhileAnAttemptIsInFlight() {
+    void functionMayRunOnceAnAttemptIsSent() {
         attempts.recordForwarded(0, 100);
         attempts.recordSent(0);
         assertEquals(100, attempts.mayHaveRunSinceMicros());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void functionHasNotRunWhileItsAttemptsWaitForTheirConnections() {
+    void functionHasNotRunWhileAttemptWaitsForItsConnection() {
         attempts.recordForwarded(0, 100);
         assertFalse(attempts.mayHaveRun());
         attempts.recordSent(0);
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void functionHasNotRunAfterAttemptsThatProveIt() {
+    void functionHasNotRunAfterInvokerReportsNoCapacity() {
         attempts.recordForwarded(0, 100);
         attempts.recordFailure(0, ResponseCode.FULL, null);
         assertFalse(attempts.mayHaveRun());
     }
 
     @Test
-    void functionMayHaveRunSinceTheEarliestAttemptWithoutProof() {
+    void functionMayHaveRunSinceForwardingOfTheEarlierOfTwoAttemptsThatMayHaveRun() {
         attempts.recordForwarded(0, 100);
         attempts.recordForwarded(1, 200);
         attempts.recordFailure(1, ResponseCode.RESET, null);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void attemptThatWasNeverForwardedIsNotInFlight() {
+    void attemptNumberThatWasNeverForwardedIsNotInFlight() {
         attempts.recordForwarded(2, 100);
         assertFalse(attempts.isInFlight(0));
         assertTrue(attempts.isInFlight(2));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void attemptThatWasNotSentKeepsTheResponseBeforeIt() {
+    void unsentAttemptKeepsThePreviousResponseText() {
         attempts.recordForwarded(0, 100);
         attempts.recordResponse(ResponseCode.FULL, "503");
         attempts.recordResponse(ResponseCode.NOT_SENT, "withheld");
--- a/src/test/java/waytrestle/requests/IdempotencyStoreTest.java
+++ b/src/test/java/waytrestle/requests/IdempotencyStoreTest.java
@@ -17,12 +17,15 @@
 import waytrestle.requests.RequestOutcome.Served;
 import waytrestle.scheduler.Idempotency;
 
-/** What a repeated request gets from the idempotency store, and what is evicted at its bounds. */
+/**
+ * Checks the lookup result of repeats, that is, requests with a known idempotency key, and what the
+ * idempotency store evicts at its bounds.
+ */
 class IdempotencyStoreTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long START_WALL_SECONDS = 1_000;
     private static final long TOLERANCE_SECONDS = 300;
-    private static final long WINDOW_MICROS = 8 * MICROS_PER_SECOND;
+    private static final long DEDUPLICATION_WINDOW_MICROS = 8 * MICROS_PER_SECOND;
     private static final long PAYLOAD_DIGEST = 7;
     private static final int MAX_ENTRIES = 4;
     private static final Served EMPTY_RESPONSE = responseOf(0);
@@ -32,9 +35,9 @@
     private long lastRequestId;
     private IdempotencyStore store = storeOf(MAX_ENTRIES, 1 << 20);
 
-    private static IdempotencyStore storeOf(int entries, long bytes) {
+    private static IdempotencyStore storeOf(int maxEntries, long maxBytes) {
         return new IdempotencyStore(
-                new Bounds(entries, bytes, TOLERANCE_SECONDS), START_WALL_SECONDS);
+                new Bounds(maxEntries, maxBytes, TOLERANCE_SECONDS), START_WALL_SECONDS);
     }
 
     private static Served responseOf(int bytes) {
@@ -42,13 +45,13 @@
     }
 
     private KeyedRequest request(String key, Idempotency idempotency) {
-        return signedAt(key, idempotency, wallSeconds);
+        return requestSignedAt(key, idempotency, wallSeconds);
     }
 
-    private static KeyedRequest signedAt(
+    private static KeyedRequest requestSignedAt(
             String key, Idempotency idempotency, long signedAtSeconds) {
-        long window = idempotency == Idempotency.KEYED ? WINDOW_MICROS : 0;
-        return new KeyedRequest(key, idempotency, window, signedAtSeconds, PAYLOAD_DIGEST);
+        long windowMicros = idempotency == Idempotency.KEYED ? DEDUPLICATION_WINDOW_MICROS : 0;
+        return new KeyedRequest(key, idempotency, windowMicros, signedAtSeconds, PAYLOAD_DIGEST);
     }
 
     private LookupResult lookUp(KeyedRequest request) {
@@ -96,7 +99,7 @@
     }
 
     @Test
-    void repeatAfterRejectionIsNewAndTheKeyIsNotHeld() {
+    void repeatAfterRejectionIsNewAndItsKeyIsNotStored() {
         Failed failure = new Failed(Reason.ATTEMPTS_FAILED, true);
         completed("a", Idempotency.NON_IDEMPOTENT, failure, now);
         Rejected rejection = new Rejected(Reason.NO_FINISH_IN_TIME, 0);
@@ -113,7 +116,7 @@
         assertEquals(
                 new NewRequest(0),
                 lookUp(completed("b", Idempotency.NON_IDEMPOTENT, abandoned, 0)),
-                "never forwarded");
+                "request of which no attempt was forwarded");
         assertEquals(
                 new Completed(abandoned),
                 lookUp(completed("c", Idempotency.NON_IDEMPOTENT, abandoned, now)));
@@ -123,21 +126,21 @@
     void repeatOfRejectedKeyedRequestIsNewOnlyWithinItsDeduplicationWindow() {
         Rejected rejection = new Rejected(Reason.NO_FINISH_IN_TIME, 0);
         KeyedRequest request = completed("k", Idempotency.KEYED, rejection, now);
-        assertEquals(new NewRequest(now + WINDOW_MICROS), lookUp(request));
-        long firstForwardedAt = now;
+        assertEquals(new NewRequest(now + DEDUPLICATION_WINDOW_MICROS), lookUp(request));
+        long firstForwardedAtMicros = now;
         now += 3 * MICROS_PER_SECOND;
         store.requestStarted(++lastRequestId, request);
         store.requestCompleted(now, lastRequestId, rejection, now);
         assertEquals(
-                new NewRequest(firstForwardedAt + WINDOW_MICROS),
+                new NewRequest(firstForwardedAtMicros + DEDUPLICATION_WINDOW_MICROS),
                 lookUp(request),
                 "the window begins with the first attempt that may have run");
-        now = firstForwardedAt + WINDOW_MICROS;
+        now = firstForwardedAtMicros + DEDUPLICATION_WINDOW_MICROS;
         assertEquals(Reason.DEDUPLICATION_WINDOW_PASSED, reasonOf(lookUp(request)));
     }
 
     @Test
-    void anotherPayloadWithTheSameKeyFails() {
+    void repeatWithAnotherPayloadFailsWithPayloadMismatch() {
         start(request("a", Idempotency.IDEMPOTENT));
         KeyedRequest other =
                 new KeyedRequest("a", Idempotency.IDEMPOTENT, 0, wallSeconds, PAYLOAD_DIGEST + 1);
@@ -145,37 +148,40 @@
     }
 
     @Test
-    void requestSignedBeforeTheStartIsRunOnlyIfIdempotent() {
+    void requestSignedBeforeStoreCreationIsNewOnlyIfIdempotent() {
         assertEquals(
                 Reason.SIGNED_BEFORE_STORE,
-                reasonOf(lookUp(signedAt("a", Idempotency.NON_IDEMPOTENT, START_WALL_SECONDS))));
+                reasonOf(
+                        lookUp(
+                                requestSignedAt(
+                                        "a", Idempotency.NON_IDEMPOTENT, START_WALL_SECONDS))));
         assertEquals(
                 Reason.SIGNED_BEFORE_STORE,
-                reasonOf(lookUp(signedAt("a", Idempotency.KEYED, START_WALL_SECONDS - 5))));
+                reasonOf(lookUp(requestSignedAt("a", Idempotency.KEYED, START_WALL_SECONDS - 5))));
         assertInstanceOf(
                 NewRequest.class,
-                lookUp(signedAt("a", Idempotency.IDEMPOTENT, START_WALL_SECONDS - 5)));
+                lookUp(requestSignedAt("a", Idempotency.IDEMPOTENT, START_WALL_SECONDS - 5)));
         assertInstanceOf(
                 NewRequest.class,
-                lookUp(signedAt("a", Idempotency.NON_IDEMPOTENT, START_WALL_SECONDS + 1)));
+                lookUp(requestSignedAt("a", Idempotency.NON_IDEMPOTENT, START_WALL_SECONDS + 1)));
     }
 
     @Test
-    void entryExpiresOnlyWhenItsSignatureIsNoLongerAccepted() {
+    void completedEntryExpiresOnlyWhenItsSignatureIsNoLongerAccepted() {
         Failed failure = new Failed(Reason.ATTEMPTS_FAILED, true);
         KeyedRequest request = completed("a", Idempotency.NON_IDEMPOTENT, failure, now);
         now += (TOLERANCE_SECONDS + 1) * MICROS_PER_SECOND;
         assertInstanceOf(
                 Completed.class,
                 lookUp(request),
-                "the wall clock stood still: its signature is still accepted");
+                "signature still accepted, since the wall clock stood still");
         wallSeconds += TOLERANCE_SECONDS + 1;
         lookUp(request("other", Idempotency.IDEMPOTENT));
         assertEquals(0, store.size());
     }
 
     @Test
-    void requestWithExpiredEntryIsNotRunAgainAfterTheWallClockStepsBack() {
+    void requestWithExpiredEntryFailsAfterTheWallClockStepsBack() {
         KeyedRequest request = completed("a", Idempotency.NON_IDEMPOTENT, EMPTY_RESPONSE, now);
         now += (TOLERANCE_SECONDS + 1) * MICROS_PER_SECOND;
         wallSeconds += TOLERANCE_SECONDS + 1;
@@ -185,7 +191,7 @@
     }
 
     @Test
-    void fullStoreEvictsTheOldestIdempotentEntry() {
+    void storeAtItsEntryBoundEvictsTheOldestIdempotentEntry() {
         for (int i = 0; i < MAX_ENTRIES; i++) {
             completed("idempotent" + i, Idempotency.IDEMPOTENT, EMPTY_RESPONSE, now);
         }
@@ -195,9 +201,12 @@
         assertInstanceOf(Completed.class, lookUp(request("idempotent3", Idempotency.IDEMPOTENT)));
     }
 
-    /** Whatever older outcome still stands before the evicted ones. */
+    /**
+     * Guards against a memory leak: an old entry that cannot be evicted must not prevent the
+     * outcomes of later, evicted entries from being removed.
+     */
     @Test
-    void evictedOutcomesAreNotHeldInMemory() {
+    void evictionBehindAnEntryThatCannotBeEvictedKeepsEntriesAndOutcomesWithinTheBound() {
         completed("old", Idempotency.NON_IDEMPOTENT, EMPTY_RESPONSE, now);
         for (int i = 0; i < 1_000; i++) {
             now += 1_000;
@@ -209,7 +218,7 @@
     }
 
     @Test
-    void storeFullOfNonIdempotentEntriesRejectsNewRequestsAndKeepsTheEntries() {
+    void storeFullOfNonIdempotentEntriesRejectsNewRequestsAndKeepsItsEntries() {
         for (int i = 0; i < MAX_ENTRIES; i++) {
             completed("unsafe" + i, Idempotency.NON_IDEMPOTENT, EMPTY_RESPONSE, now);
         }
@@ -224,29 +233,36 @@
     }
 
     @Test
-    void storeFullOfBytesEvictsResponsesButNotThatTheyWereGiven() {
+    void storeAtItsByteBoundEvictsTheOldestResponseBodiesButKeepsTheirEntries() {
         store = storeOf(100, 4_000);
         KeyedRequest oldest =
                 completed("unsafe0", Idempotency.NON_IDEMPOTENT, responseOf(1_500), now);
         completed("unsafe1", Idempotency.NON_IDEMPOTENT, responseOf(1_500), now);
         KeyedRequest newest =
                 completed("unsafe2", Idempotency.NON_IDEMPOTENT, responseOf(1_500), now);
-        assertTrue(store.bytes() <= 4_000, "bytes " + store.bytes());
+        assertTrue(store.bytes() <= 4_000, "estimated memory: " + store.bytes() + " bytes");
         assertEquals(Reason.RESPONSE_EVICTED, reasonOf(lookUp(oldest)));
         assertInstanceOf(Served.class, ((Completed) lookUp(newest)).outcome());
     }
 
     @Test
-    void anUnsignedKeyIsNewUntilSeenAndIsForgottenByTheMonotonicClockAlone() {
-        KeyedRequest unsigned = signedAt("u", Idempotency.NON_IDEMPOTENT, KeyedRequest.UNSIGNED);
+    void unsignedEntryExpiresByTheMonotonicClockWhateverTheWallClockShows() {
+        KeyedRequest unsigned =
+                requestSignedAt("u", Idempotency.NON_IDEMPOTENT, KeyedRequest.UNSIGNED);
         store.requestCompleted(now, start(unsigned), EMPTY_RESPONSE, now);
         wallSeconds += 3_600;
-        assertInstanceOf(Completed.class, lookUp(unsigned), "the wall clock stepped forward");
+        assertInstanceOf(
+                Completed.class,
+                lookUp(unsigned),
+                "entry kept although the wall clock stepped forward");
         wallSeconds -= 7_200;
         now += TOLERANCE_SECONDS * MICROS_PER_SECOND;
         assertInstanceOf(Completed.class, lookUp(unsigned));
         now++;
-        assertInstanceOf(NewRequest.class, lookUp(unsigned), "the wall clock stepped back");
+        assertInstanceOf(
+                NewRequest.class,
+                lookUp(unsigned),
+                "entry expired although the wall clock stepped back");
         assertEquals(0, store.size());
     }
 }
--- a/src/test/java/waytrestle/requests/ReasonSelectorTest.java
+++ b/src/test/java/waytrestle/requests/ReasonSelectorTest.java
@@ -10,47 +10,51 @@
 import waytrestle.scheduler.Idempotency;
 import waytrestle.scheduler.ResponseCode;
 
-/** Which reason a request without a response is given. */
+/** Checks which reason is selected for a request that was rejected or failed. */
 class ReasonSelectorTest {
-    private static final long DEADLINE = 1_000;
-    private static final long MARGIN = 20;
+    private static final long DEADLINE_MICROS = 1_000;
+    private static final long EXPIRY_MARGIN_MICROS = 20;
 
-    private final ReasonSelector reasons = new ReasonSelector(MARGIN);
+    private final ReasonSelector reasons = new ReasonSelector(EXPIRY_MARGIN_MICROS);
     private final PendingRequest request =
             new PendingRequest(
                     1,
-                    DEADLINE,
+                    DEADLINE_MICROS,
                     PendingRequestsFixture.requestClassOf(
                             Idempotency.KEYED, DeduplicationScope.ALL),
                     null);
 
-    private Reason afterAttempt(ResponseCode code, String responseText) {
+    private Reason reasonAfterAttempt(ResponseCode code, String responseText) {
         AttemptLog attempts = new AttemptLog();
         attempts.recordResponse(code, responseText);
         return reasons.ofLastAttempt(attempts);
     }
 
     @Test
-    void withoutAnyAttemptNoInvokerWasReady() {
+    void withoutAttemptsTheReasonIsNoReadyInvoker() {
         assertEquals(Reason.NO_READY_INVOKER, reasons.ofLastAttempt(new AttemptLog()));
     }
 
     @Test
-    void lastAttemptGivesTheReason() {
-        assertEquals(Reason.INVOKERS_AT_CAPACITY, afterAttempt(ResponseCode.FULL, "503"));
-        assertEquals(Reason.UNREACHABLE, afterAttempt(ResponseCode.CONNECT_FAILED, "unreached"));
-        assertEquals(Reason.NOT_LOADED, afterAttempt(ResponseCode.NOT_LOADED, "404"));
+    void responseCodeOfTheLastAttemptDeterminesTheReason() {
+        assertEquals(Reason.INVOKERS_AT_CAPACITY, reasonAfterAttempt(ResponseCode.FULL, "503"));
         assertEquals(
-                Reason.ATTEMPT_BUDGET_EXHAUSTED, afterAttempt(ResponseCode.NOT_SENT, "withheld"));
-        assertEquals(Reason.CONNECTION_LOST, afterAttempt(ResponseCode.RESET, "cut"));
-        assertEquals(Reason.NO_RESPONSE, afterAttempt(ResponseCode.TIMEOUT, "timeout"));
-        assertEquals(Reason.INVOKER_ERROR, afterAttempt(ResponseCode.ERROR, "500"));
-        assertEquals(Reason.MALFORMED_RESPONSE, afterAttempt(ResponseCode.ERROR, "unreadable"));
-        assertEquals(Reason.ATTEMPTS_FAILED, afterAttempt(ResponseCode.CANCELLED, "cancelled"));
+                Reason.UNREACHABLE, reasonAfterAttempt(ResponseCode.CONNECT_FAILED, "unreached"));
+        assertEquals(Reason.NOT_LOADED, reasonAfterAttempt(ResponseCode.NOT_LOADED, "404"));
+        assertEquals(
+                Reason.ATTEMPT_BUDGET_EXHAUSTED,
+                reasonAfterAttempt(ResponseCode.NOT_SENT, "withheld"));
+        assertEquals(Reason.CONNECTION_LOST, reasonAfterAttempt(ResponseCode.RESET, "cut"));
+        assertEquals(Reason.NO_RESPONSE, reasonAfterAttempt(ResponseCode.TIMEOUT, "timeout"));
+        assertEquals(Reason.INVOKER_ERROR, reasonAfterAttempt(ResponseCode.ERROR, "500"));
+        assertEquals(
+                Reason.MALFORMED_RESPONSE, reasonAfterAttempt(ResponseCode.ERROR, "unreadable"));
+        assertEquals(
+                Reason.ATTEMPTS_FAILED, reasonAfterAttempt(ResponseCode.CANCELLED, "cancelled"));
     }
 
     @Test
-    void rejectionWithAnEstimateBeyondTheTimeLeftCannotFinishInTime() {
+    void rejectionWithAnEstimateIsNoFinishInTimeBeyondTheTimeLeftAndOverloadedWithinIt() {
         SchedulerRejectedRequest late = new SchedulerRejectedRequest(1, 0, 501);
         assertEquals(Reason.NO_FINISH_IN_TIME, reasons.ofSchedulerRejection(request, late, 500));
         SchedulerRejectedRequest inTime = new SchedulerRejectedRequest(1, 0, 500);
@@ -58,7 +62,7 @@
     }
 
     @Test
-    void rejectionWithoutAnEstimateWhileAnAttemptIsInFlightExceedsTheDeadline() {
+    void rejectionWithoutEstimateWhileAnAttemptIsInFlightIsDeadlineExceeded() {
         request.attempts.recordForwarded(0, 100);
         SchedulerRejectedRequest rejection = new SchedulerRejectedRequest(1, 0, -1);
         assertEquals(
@@ -66,13 +70,17 @@
     }
 
     @Test
-    void failureWithinTheExpiryMarginExceedsTheDeadline() {
-        assertEquals(Reason.NO_READY_INVOKER, reasons.ofFailure(request, DEADLINE - MARGIN - 1));
-        assertEquals(Reason.DEADLINE_EXCEEDED, reasons.ofFailure(request, DEADLINE - MARGIN));
+    void failureIsDeadlineExceededOnlyWithinTheExpiryMargin() {
+        assertEquals(
+                Reason.NO_READY_INVOKER,
+                reasons.ofFailure(request, DEADLINE_MICROS - EXPIRY_MARGIN_MICROS - 1));
+        assertEquals(
+                Reason.DEADLINE_EXCEEDED,
+                reasons.ofFailure(request, DEADLINE_MICROS - EXPIRY_MARGIN_MICROS));
     }
 
     @Test
-    void openCircuitOfAnUnknownFunctionIsReportedAsNotFound() {
+    void openCircuitIsFunctionNotFoundAfterStatus404AndCircuitOpenOtherwise() {
         assertEquals(
                 Reason.FUNCTION_NOT_FOUND,
                 reasons.ofOpenCircuit(new CircuitRejectedRequest(1, "404", 0)));
