--- a/src/main/java/waytrestle/requests/PendingRequests.java
+++ b/src/main/java/waytrestle/requests/PendingRequests.java
@@ -14,43 +14,51 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * The requests in flight and the clients that wait for them: each client gets one response before
- * its deadline and none after. Requests with the same idempotency key are joined.
+ * Holds the requests in flight and the clients that wait for them, and decides which client gets
+ * which outcome: each client gets one response before its deadline and none afterwards. Requests
+ * with equal idempotency keys are joined.
  *
- * <p>Front ends bring the clients; the controller brings what the scheduler decided and how
- * attempts ended. Where a request runs and whether it is rejected is decided by the scheduler; this
- * class only decides which client gets which outcome.
+ * <p>Events report the arrivals of clients from the front ends, and the scheduler's decisions and
+ * the ends of attempts from the controller. The scheduler decides which invoker runs a request and
+ * whether the request is rejected.
  *
- * <p>Free of I/O, clock and threads. Not thread-safe: used by the controller's event loop. A
- * command may lead to further events before {@link #handle} returns.
+ * <p>Does no I/O, reads no clock and starts no threads; times are monotonic, in microseconds,
+ * unless their names say seconds. Not thread-safe: used by the controller's event loop. Carrying
+ * out a command may cause further events before {@link #handle} returns.
  */
 public final class PendingRequests {
     /**
      * Time left, in scheduler ticks, at or below which a request counts as expired. The scheduler
-     * ends a request one tick before its deadline, so one tick more covers every outcome that comes
-     * of that.
+     * ends a request one tick before its deadline; the second tick covers the outcomes that follow
+     * from that end.
      */
     private static final long EXPIRY_MARGIN_TICKS = 2;
 
     /**
-     * Retry-After of a request that admission control rejected: two adjustment steps of the
-     * concurrency limit, so that the retry meets another state.
+     * Retry-After of a request that admission control rejected: two adjustment periods of the
+     * concurrency limit, so that the limit may have changed when the retry arrives.
      */
     private static final long ADMISSION_RETRY_AFTER_MICROS = 500_000;
 
-    /** What happens to pending requests. */
+    /** An event that concerns pending requests. */
     public sealed interface Event {}
 
-    /** What happens to one request; ignored when that request is no longer in flight. */
+    /** An event that concerns one request; ignored if the request is no longer in flight. */
     public sealed interface RequestEvent extends Event {
-        /** The request's number, as given by {@link StartRequest}. */
+        /** Returns the id of the request, as given by {@link StartRequest}. */
         long requestId();
     }
 
     /**
-     * A client with its request.
+     * A client sent a request.
      *
-     * @param idempotencyKey null for a request that is never joined or remembered
+     * @param requestClass index of the request class in the scheduler settings
+     * @param tenant index of the tenant in the scheduler settings, -1 for none
+     * @param retryFingerprint value by which a client's retry of a rejected request is recognised;
+     *     0 if the request has none
+     * @param idempotencyKey null for a request that repeats cannot join and the idempotency store
+     *     does not remember
+     * @param timeLeftMicros time left until the client's deadline
      */
     public record RequestArrived(
             long clientId,
@@ -64,22 +72,22 @@
     /** The connection of a waiting client was closed. */
     public record ClientDisconnected(long clientId) implements Event {}
 
-    /** An attempt of the request was handed over to be sent; it may still be withdrawn. */
+    /** An attempt was handed over to be sent, and may still be withdrawn. */
     public record AttemptForwarded(long requestId, int attempt) implements RequestEvent {}
 
-    /** A forwarded attempt waits for its connection: nothing of it has been written so far. */
+    /** A forwarded attempt waits for its connection, and nothing of it has been written yet. */
     public record AttemptWaiting(long requestId, int attempt) implements RequestEvent {}
 
-    /** The first byte of a forwarded attempt may be written from now on. */
+    /** A forwarded attempt may be written to its connection from now on. */
     public record AttemptSent(long requestId, int attempt) implements RequestEvent {}
 
     /**
      * An attempt ended.
      *
      * @param outcome {@link RequestOutcome.Served} for the function's response, {@link
-     *     FunctionError} for its own error (the outcome of the request if nothing better follows),
-     *     null without either
-     * @param endsRequest whether the request ends with this attempt
+     *     FunctionError} for an error returned by the function itself (the outcome of the request
+     *     if no later attempt is served), null if the function returned neither
+     * @param endsRequest whether the request ends with the attempt
      * @param responseText HTTP status of the response, or a word in place of one
      */
     public record AttemptCompleted(
@@ -94,11 +102,15 @@
     /**
      * The scheduler rejected the request.
      *
-     * @param estimateMicros expected time to the response that led to the rejection, negative if
-     *     there was another reason
+     * @param retryAfterMicros time after which the client may retry
+     * @param estimateMicros estimated time to the response, if the scheduler rejected the request
+     *     because of that estimate; negative if there was another reason
      */
     public record SchedulerRejectedRequest(
             long requestId, long retryAfterMicros, long estimateMicros) implements RequestEvent {
+        /**
+         * Returns whether the request was rejected because of the estimated time to its response.
+         */
         boolean hasEstimate() {
             return estimateMicros >= 0;
         }
@@ -107,54 +119,59 @@
     /** No invoker knows the function. */
     public record FunctionNotFound(long requestId) implements RequestEvent {}
 
-    /** The circuit of the function is open: the request never reached the scheduler. */
+    /**
+     * The circuit breaker of the function is open, so the request was not given to the scheduler.
+     *
+     * @param lastResponseText text of the last response that the function's invokers gave: an HTTP
+     *     status or a word in place of one
+     */
     public record CircuitRejectedRequest(
             long requestId, String lastResponseText, long retryAfterMicros)
             implements RequestEvent {}
 
-    /** The scheduler gave the request up. */
+    /** The scheduler failed the request. */
     public record SchedulerFailedRequest(long requestId) implements RequestEvent {}
 
-    /** The scheduler threw an exception on an event of this request. */
+    /** The scheduler threw an exception while it handled an event of the request. */
     public record SchedulerThrew(long requestId) implements RequestEvent {}
 
-    /** The timer of an earlier {@link SetDeadlineTimer} has expired. */
+    /** The timer set by a {@link SetDeadlineTimer} command has expired. */
     public record DeadlineExpired(long clientId) implements Event {}
 
-    /** No further requests are accepted. */
+    /** The controller has begun to shut down: new requests are rejected. */
     public record ShutdownStarted() implements Event {}
 
-    /** The grace period of the shutdown is over: requests still in flight end now. */
+    /** The grace period of the shutdown is over: requests still in flight end at once. */
     public record ShutdownGraceExpired() implements Event {}
 
-    /** What the controller is to do. */
+    /** A command to the controller. */
     public sealed interface Command {}
 
-    /** Send the client its one response. */
+    /** Send the client its only response. */
     public record RespondToClient(long clientId, RequestOutcome outcome) implements Command {}
 
-    /** What a request that came again got; sent before anything else is done about it. */
+    /** How a repeat, that is, a request with a known idempotency key, is handled. */
     public enum RepeatKind {
-        /** The first is in flight: both get its outcome. */
+        /** The first request is in flight, and the repeat gets its outcome. */
         JOINED,
-        /** It gets the outcome of the first, or the reason why it is not run again. */
+        /** The repeat gets the outcome of the first request, or the reason why it is not run. */
         ANSWERED
     }
 
-    /** A request that came again was recognised; for logs alone. */
+    /** Log that a repeat was recognised; precedes every other command for the repeat. */
     public record ReportRepeat(long clientId, RepeatKind kind) implements Command {}
 
     /** Give a new request to the scheduler. */
     public record StartRequest(long requestId, long clientId, long timeLeftMicros)
             implements Command {}
 
-    /** Notify the scheduler that nobody waits for the request any more. */
+    /** Notify the scheduler that no client waits for the request any more. */
     public record AbandonRequest(long requestId) implements Command {}
 
-    /** Return a {@link DeadlineExpired} after the given time. */
+    /** Send a {@link DeadlineExpired} event for the client after the given time. */
     public record SetDeadlineTimer(long clientId, long afterMicros) implements Command {}
 
-    /** Carries out commands, in order and at once. */
+    /** Carries out commands at once and in the order in which they are added. */
     public interface CommandSink {
         /** Carries out one command. */
         void add(Command command);
@@ -168,19 +185,30 @@
     private final AdmissionControl admissionControl;
     private final boolean cancelsAttempts;
     private final OutcomeFactory outcomes;
+
+    /** Waiting clients, by client id. */
     private final Map<Long, WaitingClient> clients = new HashMap<>();
+
+    /** Requests in flight, by request id. */
     private final Map<Long, PendingRequest> inFlight = new HashMap<>();
+
     private long lastRequestId;
     private boolean shuttingDown;
+
+    /** Monotonic time of the event that is being handled, in microseconds. */
     private long now;
+
+    /** Receives the commands of the event that is being handled. */
     private CommandSink commands;
 
     /**
-     * Creates it without any request.
+     * Creates an instance without pending requests.
      *
-     * @param tickMicros the scheduler's tick
-     * @param cancelsAttempts whether attempts can be cancelled; where not, a request whose clients
-     *     have left stays in flight while an attempt is, for repeats to join
+     * @param maxInFlight number of requests in flight at which new requests are rejected
+     * @param tickMicros length of the scheduler's tick
+     * @param cancelsAttempts whether attempts can be cancelled; if not, a request whose clients
+     *     have disconnected stays in flight as long as an attempt may run, so that repeats can join
+     *     it
      */
     public PendingRequests(
             List<RequestClass> requestClasses,
@@ -199,24 +227,24 @@
         this.outcomes = new OutcomeFactory(new ReasonSelector(expiryMarginMicros));
     }
 
-    /** Number of requests in flight. */
+    /** Returns the number of requests in flight. */
     public int inFlight() {
         return inFlight.size();
     }
 
-    /** Number of clients that wait for a response. */
+    /** Returns the number of clients that wait for a response. */
     public int waitingClients() {
         return clients.size();
     }
 
-    /** The store of idempotency keys that it works with. */
+    /** Returns the idempotency store in which requests are looked up and recorded. */
     public IdempotencyStore idempotencyStore() {
         return idempotencyStore;
     }
 
     /**
-     * Whether a response code proves that the attempt never ran; the same as {@link
-     * ResponseCode#provesNotRun}.
+     * Returns whether a response code proves that the attempt has not run, as {@link
+     * ResponseCode#provesNotRun} does.
      */
     public static boolean provesNotRun(ResponseCode code) {
         return code.provesNotRun();
@@ -226,7 +254,8 @@
      * Handles one event.
      *
      * @param nowMicros monotonic time
-     * @param wallSeconds wall-clock time, for the signing times of requests only
+     * @param wallSeconds wall-clock time, used only to verify the signing times of requests
+     * @param sink receives the commands that the event causes
      */
     public void handle(long nowMicros, long wallSeconds, Event event, CommandSink sink) {
         now = nowMicros;
@@ -272,14 +301,14 @@
     }
 
     private void requestArrived(RequestArrived event, long wallSeconds) {
-        LookupResult known = lookUp(event, wallSeconds);
-        if (known instanceof LookupResult.Completed completed) {
+        LookupResult lookupResult = lookUp(event, wallSeconds);
+        if (lookupResult instanceof LookupResult.Completed completed) {
             commands.add(new ReportRepeat(event.clientId(), RepeatKind.ANSWERED));
             respond(event.clientId(), completed.outcome());
-        } else if (known instanceof LookupResult.InFlight duplicate) {
+        } else if (lookupResult instanceof LookupResult.InFlight duplicate) {
             commands.add(new ReportRepeat(event.clientId(), RepeatKind.JOINED));
             joinInFlight(event, inFlight.get(duplicate.requestId()));
-        } else if (known instanceof LookupResult.NewRequest newRequest) {
+        } else if (lookupResult instanceof LookupResult.NewRequest newRequest) {
             startIfAdmitted(event, newRequest);
         }
     }
@@ -322,7 +351,7 @@
         commands.add(new StartRequest(request.id, event.clientId(), request.deadlineMicros - now));
     }
 
-    /** Why a new request is rejected before the scheduler sees it, or null if it is admitted. */
+    /** Returns the rejection of a new request, or null if the request is given to the scheduler. */
     private Rejected rejectionOnArrival(RequestArrived event) {
         if (isExpired(event.timeLeftMicros())) {
             return new Rejected(Reason.NO_FINISH_IN_TIME, 0);
@@ -343,8 +372,9 @@
         WaitingClient client = new WaitingClient(event.clientId(), request);
         clients.put(client.id(), client);
         request.clients.add(client);
-        // The first client's timer is only a backstop behind the scheduler's own deadline; a client
-        // that joined may have less time than the request and is answered before it runs out.
+        // The first client's timer only takes effect if the scheduler has not ended the request by
+        // the deadline. A joined client may have less time left than the request, so its timer
+        // expires early enough for a response before its own deadline.
         boolean joined = request.clients.size() > 1;
         long marginMicros = joined ? expiryMarginMicros : tickMicros / 2;
         long afterMicros = Math.max(0, event.timeLeftMicros() - marginMicros);
@@ -352,9 +382,11 @@
     }
 
     /**
-     * Responds to a client whose time is nearly up. One that joined may have less time than its
-     * request, which then continues for the others. The request itself expires here only if the
-     * scheduler has not ended it in time: the backstop for a failed decision or a stalled process.
+     * Responds to a client whose deadline is near. A joined client may have less time left than the
+     * request, which then continues for the other clients. The request itself expires here only if
+     * the scheduler has not ended it in time, because a decision failed or the process stalled.
+     *
+     * @param client null if the client has its response or has disconnected
      */
     private void deadlineExpired(WaitingClient client) {
         if (client == null) {
@@ -373,6 +405,11 @@
         }
     }
 
+    /**
+     * Removes a client, and ends or detaches its request if no other client waits for it.
+     *
+     * @param client null if the client already has its response
+     */
     private void clientDisconnected(WaitingClient client) {
         if (client == null) {
             return;
@@ -385,8 +422,8 @@
         if (cancelsAttempts || !request.attempts.anyMayStillRun()) {
             abandon(request);
         } else if (!request.detached) {
-            // Guards against a repeat that runs beside the attempt which its client left behind:
-            // the request stays in flight, so that the repeat joins it.
+            // An attempt may still run. The request stays in flight, so that a repeat joins it
+            // instead of running at the same time.
             request.detached = true;
             commands.add(new AbandonRequest(request.id));
         }
@@ -401,13 +438,14 @@
         AttemptLog attempts = request.attempts;
         attempts.recordResponse(event.code(), event.responseText());
         if (!attempts.isInFlight(event.attempt())) {
-            return; // It was withheld: nothing was sent to an invoker.
+            return; // The attempt was withheld: nothing of it was sent to an invoker.
         }
         if (event.code() == ResponseCode.OK) {
             complete(request, event.outcome());
             return;
         }
-        FunctionError error = event.outcome() instanceof FunctionError own ? own : null;
+        FunctionError error =
+                event.outcome() instanceof FunctionError functionError ? functionError : null;
         attempts.recordFailure(event.attempt(), event.code(), error);
         if (request.detached) {
             detachedAttemptFailed(request);
@@ -419,8 +457,8 @@
     }
 
     /**
-     * Ends a detached request with its last attempt; clients that have joined it since get what
-     * came of that.
+     * Ends a detached request if no attempt of it is in flight any more; clients that have joined
+     * it since it was detached get an outcome that reflects the last attempt.
      */
     private void detachedAttemptFailed(PendingRequest request) {
         if (request.attempts.anyInFlight()) {
@@ -440,13 +478,13 @@
         }
     }
 
-    /** Ends a request that nobody waits for; a repeat depends on whether it may have run. */
+    /** Ends a request for which no client waits, and notifies the scheduler. */
     private void abandon(PendingRequest request) {
         close(request, outcomes.abandonment(request));
         commands.add(new AbandonRequest(request.id));
     }
 
-    /** Ends a request and gives its outcome to all its clients. */
+    /** Ends a request and sends its outcome to all its clients. */
     private void complete(PendingRequest request, RequestOutcome outcome) {
         close(request, outcome);
         for (WaitingClient client : request.clients) {
@@ -456,6 +494,10 @@
         request.clients.clear();
     }
 
+    /**
+     * Removes a request from those in flight, and reports its outcome to admission control and the
+     * idempotency store.
+     */
     private void close(PendingRequest request, RequestOutcome outcome) {
         inFlight.remove(request.id);
         RequestArrived arrival = request.arrival;
--- a/src/main/java/waytrestle/requests/RequestHandler.java
+++ b/src/main/java/waytrestle/requests/RequestHandler.java
@@ -4,15 +4,20 @@
 import waytrestle.requests.IdempotencyStore.KeyedRequest;
 
 /**
- * What a protocol front end needs of the controller: it hands over a request and is notified of the
- * outcome, once.
+ * The controller as the protocol front ends see it: a front end hands over a request and is
+ * notified of its outcome exactly once.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public interface RequestHandler {
     /**
-     * What a request declares of its function; a number of 0 or less is not declared.
+     * What a request declares of its function. A number of 0 or less means that the value is not
+     * declared.
      *
+     * @param memoryMb memory of one function instance, in megabytes
+     * @param concurrencyPerInstance requests that one function instance runs at a time
+     * @param loadMicros time to load a function instance
+     * @param workMicros time that the function takes to serve the request
      * @param retry whether the client has sent the request before
      */
     record FunctionHints(
@@ -21,20 +26,24 @@
             long loadMicros,
             long workMicros,
             boolean retry) {
-        /** Nothing is declared. */
+        /** The hints of a request that declares nothing. */
         public static final FunctionHints NONE = new FunctionHints(0, 0, 0, 0, false);
     }
 
     /**
      * A request that a front end has parsed and authorized.
      *
-     * @param tenant -1 without one
-     * @param idempotencyKey null for a request that is never joined or remembered
-     * @param retryFingerprint recognises a client's retry of a rejected request, 0 without one
-     * @param jsonBytes if not negative, the payload is an inference request whose JSON part has
-     *     this length, and the whole inference response is wanted
+     * @param requestClass index of the request class in the scheduler settings
+     * @param tenant index of the tenant in the scheduler settings, -1 for none
+     * @param idempotencyKey null for a request that repeats cannot join and the idempotency store
+     *     does not remember
+     * @param retryFingerprint value by which a client's retry of a rejected request is recognised;
+     *     0 if the request has none
+     * @param timeLeftMicros time left until the client's deadline
+     * @param jsonBytes length of the JSON part if the payload is an inference request whose whole
+     *     inference response is wanted, negative for any other payload
      * @param hints null if the request declares none
-     * @param forwardedRequestId request id that invokers are to see unchanged, null without one
+     * @param forwardedRequestId request id that is forwarded to invokers unchanged, null for none
      */
     record IncomingRequest(
             int requestClass,
@@ -74,30 +83,30 @@
         }
     }
 
-    /** Notified of the outcome on the event loop, possibly before {@link #accept} returns. */
+    /** Is notified of an outcome on the event loop, possibly before {@link #accept} returns. */
     interface ResponseListener {
-        /** The request has its outcome. */
+        /** Called once, when the request has its outcome. */
         void completed(RequestOutcome outcome);
 
         /**
-         * Called before work is begun for the client: a listener that finds the connection closed
-         * reports it at once by {@link PendingResponse#clientDisconnected}.
+         * Called before the request is processed further. If the client's connection is closed, the
+         * listener reports that at once by {@link PendingResponse#clientDisconnected}.
          */
         default void checkConnected() {}
     }
 
-    /** A response that has not been given yet; held by the front end. */
+    /** A front end's handle of an accepted request that has no outcome yet. */
     interface PendingResponse {
-        /** The client's connection was closed; no outcome is reported after this. */
+        /** Reports that the client's connection was closed; no outcome is reported afterwards. */
         void clientDisconnected();
     }
 
-    /** Takes a request over; the listener is notified of its outcome once. */
+    /** Accepts a request for processing and notifies the listener of its outcome exactly once. */
     PendingResponse accept(IncomingRequest request, ResponseListener listener);
 
-    /** Whether any invoker is ready. */
+    /** Returns whether at least one invoker is ready. */
     boolean hasReadyInvoker();
 
-    /** Wall-clock time, by which signing times are verified. */
+    /** Returns the wall-clock time in seconds, against which signing times are verified. */
     long wallSeconds();
 }
--- a/src/main/java/waytrestle/requests/SendGuard.java
+++ b/src/main/java/waytrestle/requests/SendGuard.java
@@ -7,29 +7,36 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * The one place that every attempt has to pass right before its first byte is written, on whatever
- * connection, and every rejection before it is given to its client. It holds the rules on effects
- * against what was really sent, whatever led to the send, and counts what it refuses. The scheduler
- * decides by the same rules, so a refusal for an effect is a violation: a fault of this program.
+ * Makes the final check of every attempt right before its first byte is written on a connection,
+ * and of every rejection before it is sent to its client. The guard checks against the attempts
+ * that were really sent that no effect is doubled, and counts what it refuses. The scheduler
+ * decides by equal rules, so a refusal because of a possible effect is a violation, that is, a
+ * defect of this program.
  *
- * <p>Free of I/O and clock. Not thread-safe: used by the controller's event loop.
+ * <p>Does no I/O and reads no clock; times are monotonic, in microseconds. Not thread-safe: used by
+ * the controller's event loop.
  */
 public final class SendGuard {
-    /** Why something is not sent. */
+    /** Why an attempt, a preload request or a rejection is not sent. */
     public enum Refusal {
-        /** Nobody waits for the response any more. */
+        /** No client waits for the response any more. */
         CLIENT_GONE(false),
-        /** The invoker stopped being ready since the decision. */
+        /** The invoker has stopped being ready since the scheduler's decision. */
         INVOKER_NOT_READY(false),
-        /** What is known of the invoker's readiness has become too old. */
+        /** The readiness lease of the invoker has expired. */
         READINESS_EXPIRED(false),
-        /** Another attempt of an unsafe request may have run. */
+        /** Another attempt of a non-idempotent request may have run. */
         MAY_HAVE_RUN(true),
-        /** Another attempt may have run, and invokers no longer drop its duplicates. */
+        /**
+         * Another attempt of a keyed request may have run, and its deduplication window is over.
+         */
         WINDOW_PASSED(true),
-        /** Another attempt may have run where its duplicates are not dropped here. */
+        /**
+         * Another attempt of a keyed request may have run at an invoker outside the deduplication
+         * scope of this one, which therefore would not drop the duplicate.
+         */
         OTHER_GROUP(true),
-        /** A rejection of a request that may have run: it promises that a retry does no harm. */
+        /** The request to be rejected may have run, so a retry by its client is not harmless. */
         REJECTED_AFTER_EFFECT(true);
 
         private final boolean violation;
@@ -38,7 +45,7 @@
             this.violation = violation;
         }
 
-        /** Whether it should never have come to the guard. */
+        /** Returns whether the refusal shows a defect in the decision that led to the send. */
         public boolean isViolation() {
             return violation;
         }
@@ -47,10 +54,12 @@
     /**
      * An attempt about to be written.
      *
-     * @param attempt its number within the request
-     * @param zone of its invoker
-     * @param cell of its invoker
-     * @param readinessLeaseValid whether the invoker's readiness was confirmed lately enough
+     * @param attempt number of the attempt within its request
+     * @param zone zone of the invoker
+     * @param cell cell of the invoker
+     * @param invokerReady whether the invoker has not stopped being ready since the scheduler's
+     *     decision
+     * @param readinessLeaseValid whether the invoker's readiness was confirmed recently enough
      */
     public record SendIntent(
             RequestClass requestClass,
@@ -62,14 +71,17 @@
             boolean readinessLeaseValid,
             long nowMicros) {}
 
-    /** In place of an attempt's number: all of them are looked at. */
-    private static final int NO_ATTEMPT = -1;
+    /** Stands for a missing attempt number: no attempt is exempt from the check. */
+    private static final int NO_EXEMPT_ATTEMPT = -1;
 
     private final Map<Refusal, Long> counts = new EnumMap<>(Refusal.class);
 
-    /** Why the attempt may not be written, or null: then it counts as sent from now on. */
+    /**
+     * Returns why an attempt may not be written, or null if it may. An attempt that may be written
+     * is recorded as sent in the history; a refusal is counted.
+     */
     public Refusal checkSend(SendHistory history, SendIntent intent) {
-        Refusal refusal = reasonAgainst(history, intent);
+        Refusal refusal = refusalOf(history, intent);
         if (refusal == null) {
             history.recordSent(intent);
         } else {
@@ -78,7 +90,7 @@
         return refusal;
     }
 
-    private static Refusal reasonAgainst(SendHistory history, SendIntent intent) {
+    private static Refusal refusalOf(SendHistory history, SendIntent intent) {
         if (!intent.clientIsWaiting()) {
             return Refusal.CLIENT_GONE;
         }
@@ -95,33 +107,34 @@
         return switch (intent.requestClass().idempotency()) {
             case IDEMPOTENT -> null;
             case NON_IDEMPOTENT -> Refusal.MAY_HAVE_RUN;
-            case KEYED -> reasonAgainstKeyed(other, intent);
+            case KEYED -> refusalOfKeyed(other, intent);
         };
     }
 
-    private static Refusal reasonAgainstKeyed(SendHistory.SentAttempt other, SendIntent intent) {
+    private static Refusal refusalOfKeyed(SendHistory.SentAttempt other, SendIntent intent) {
         RequestClass requestClass = intent.requestClass();
-        long windowEnd = other.sentAtMicros + requestClass.deduplicationWindowMicros();
-        if (intent.nowMicros() > windowEnd) {
+        long windowEndMicros = other.sentAtMicros + requestClass.deduplicationWindowMicros();
+        if (intent.nowMicros() > windowEndMicros) {
             return Refusal.WINDOW_PASSED;
         }
-        boolean sameGroup =
+        boolean isInDeduplicationScope =
                 switch (requestClass.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> other.zone == intent.zone();
                     case CELL -> other.cell == intent.cell();
                 };
-        return sameGroup ? null : Refusal.OTHER_GROUP;
+        return isInDeduplicationScope ? null : Refusal.OTHER_GROUP;
     }
 
     /**
-     * Why a preload request may not be written, or null.
+     * Returns why a preload request may not be written, or null if it may; counts a refusal.
      *
-     * @param invokerReady whether the invoker has not stopped being ready since the decision
-     * @param readinessKnown whether its readiness was confirmed lately enough
+     * @param invokerReady whether the invoker has not stopped being ready since the scheduler's
+     *     decision
+     * @param readinessLeaseValid whether the invoker's readiness was confirmed recently enough
      */
-    public Refusal checkPreload(boolean invokerReady, boolean readinessKnown) {
-        if (invokerReady && readinessKnown) {
+    public Refusal checkPreload(boolean invokerReady, boolean readinessLeaseValid) {
+        if (invokerReady && readinessLeaseValid) {
             return null;
         }
         Refusal refusal = invokerReady ? Refusal.READINESS_EXPIRED : Refusal.INVOKER_NOT_READY;
@@ -129,31 +142,34 @@
         return refusal;
     }
 
-    /** Whether a rejection may be given, which promises that a retry does no harm. */
+    /**
+     * Returns whether a request may be rejected, that is, whether a retry by its client is
+     * harmless; counts a refusal.
+     */
     public boolean mayReject(SendHistory history, RequestClass requestClass) {
-        boolean allDeduplicate =
+        boolean allInvokersDeduplicate =
                 requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        boolean harmless =
+        boolean isRetryHarmless =
                 requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || allDeduplicate
-                        || history.firstThatMayHaveRun(NO_ATTEMPT) == null;
-        if (!harmless) {
+                        || allInvokersDeduplicate
+                        || history.firstThatMayHaveRun(NO_EXEMPT_ATTEMPT) == null;
+        if (!isRetryHarmless) {
             count(Refusal.REJECTED_AFTER_EFFECT);
         }
-        return harmless;
+        return isRetryHarmless;
     }
 
     private void count(Refusal refusal) {
         counts.merge(refusal, 1L, Long::sum);
     }
 
-    /** How often each reason has held something back. */
+    /** Returns the number of refusals by reason; reasons that never occurred are missing. */
     public Map<Refusal, Long> counts() {
         return counts;
     }
 
-    /** How often the rules on effects would have been broken. */
+    /** Returns the number of refusals that were violations. */
     public long violations() {
         return counts.entrySet().stream()
                 .filter(entry -> entry.getKey().isViolation())
--- a/src/main/java/waytrestle/requests/SendHistory.java
+++ b/src/main/java/waytrestle/requests/SendHistory.java
@@ -5,14 +5,14 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * The attempts of one request that {@link SendGuard} has let pass, and which of them are proved
- * never to have run. It is kept apart from what the scheduler believes, so that each checks the
- * other.
+ * Records the attempts of one request that {@link SendGuard} has allowed to be sent, and which of
+ * them are proved not to have run. The history is kept apart from the scheduler's own record of
+ * attempts, so that an error in one is detected by the other.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>Times are monotonic, in microseconds. Not thread-safe: used by the controller's event loop.
  */
 public final class SendHistory {
-    /** An attempt that was let pass; until its end it may run. */
+    /** An attempt that was allowed to be sent; it may have run unless the opposite is proved. */
     static final class SentAttempt {
         final int number;
         final int zone;
@@ -28,12 +28,15 @@
         }
     }
 
-    /** Attempts that most requests have, at most. */
-    private static final int USUAL_ATTEMPTS = 2;
+    /** Initial capacity of the list: most requests need no more attempts. */
+    private static final int INITIAL_CAPACITY = 2;
 
-    private final List<SentAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<SentAttempt> attempts = new ArrayList<>(INITIAL_CAPACITY);
 
-    /** Notes an attempt that passes; one that asks again for a further connection is noted once. */
+    /**
+     * Records an attempt as sent. An attempt that was recorded before, because it is sent again on
+     * another connection, keeps its first record.
+     */
     void recordSent(SendGuard.SendIntent intent) {
         for (SentAttempt sent : attempts) {
             if (sent.number == intent.attempt()) {
@@ -45,7 +48,7 @@
                         intent.attempt(), intent.zone(), intent.cell(), intent.nowMicros()));
     }
 
-    /** Notes how an attempt has ended; nothing where it was never let pass. */
+    /** Records how an attempt has ended; does nothing if the attempt was never recorded as sent. */
     public void recordEnd(int attempt, ResponseCode code) {
         for (SentAttempt sent : attempts) {
             if (sent.number == attempt && code.provesNotRun()) {
@@ -54,10 +57,14 @@
         }
     }
 
-    /** The first other attempt that may have run or may still run, or null if there is none. */
-    SentAttempt firstThatMayHaveRun(int otherThan) {
+    /**
+     * Returns the first attempt that may have run or may still run, or null if there is none.
+     *
+     * @param exemptAttempt number of the attempt that is left out
+     */
+    SentAttempt firstThatMayHaveRun(int exemptAttempt) {
         for (SentAttempt sent : attempts) {
-            if (sent.number != otherThan && !sent.provedNotRun) {
+            if (sent.number != exemptAttempt && !sent.provedNotRun) {
                 return sent;
             }
         }
--- a/src/main/java/waytrestle/requests/WaitingClient.java
+++ b/src/main/java/waytrestle/requests/WaitingClient.java
@@ -1,4 +1,4 @@
 package waytrestle.requests;
 
-/** A client that waits for the outcome of a request, alone or with others that sent the same. */
+/** A client that waits for the outcome of a request, which it may share with joined clients. */
 record WaitingClient(long id, PendingRequest request) {}
--- a/src/test/java/waytrestle/requests/PendingRequestsFixture.java
+++ b/src/test/java/waytrestle/requests/PendingRequestsFixture.java
@@ -16,11 +16,14 @@
 import waytrestle.scheduler.Idempotency;
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
-/** Pending requests with a clock of their own and the commands of the last event. */
+/**
+ * Test fixture: pending requests with a simulated monotonic clock, and the commands that the last
+ * event caused.
+ */
 final class PendingRequestsFixture {
     static final long MICROS_PER_SECOND = 1_000_000;
     static final long TICK_MICROS = 10_000;
-    static final long WINDOW_MICROS = 2 * MICROS_PER_SECOND;
+    static final long DEDUPLICATION_WINDOW_MICROS = 2 * MICROS_PER_SECOND;
     static final Served RESPONSE = new Served("t", new byte[] {1});
 
     private static final long WALL_SECONDS = 1_000;
@@ -28,7 +31,10 @@
     private static final int NO_TENANT = -1;
 
     final PendingRequests pending;
+
+    /** The simulated monotonic time in microseconds. */
     long now = 5 * MICROS_PER_SECOND;
+
     private final List<RequestClass> requestClasses;
     private final List<Command> commands = new ArrayList<>();
 
@@ -49,7 +55,7 @@
                 idempotency.name(),
                 idempotency,
                 scope,
-                WINDOW_MICROS,
+                DEDUPLICATION_WINDOW_MICROS,
                 MICROS_PER_SECOND,
                 0,
                 3 * MICROS_PER_SECOND,
@@ -58,44 +64,61 @@
                 false);
     }
 
-    /** The commands that the event led to. */
+    /** Handles an event and returns the commands that it caused. */
     List<Command> handle(Event event) {
         commands.clear();
         pending.handle(now, WALL_SECONDS, event, commands::add);
         return commands();
     }
 
-    /** The commands of the last event. */
+    /** Returns the commands that the last event caused. */
     List<Command> commands() {
         return List.copyOf(commands);
     }
 
+    /** Handles the arrival of a client; see {@link #arrival}. */
     void arrive(long clientId, int requestClass, String key, long timeLeftMicros) {
         handle(arrival(clientId, requestClass, key, timeLeftMicros));
     }
 
+    /**
+     * Returns the arrival event of a client.
+     *
+     * @param requestClass index of the request class, as given to the constructor
+     * @param key idempotency key, null for none
+     */
     RequestArrived arrival(long clientId, int requestClass, String key, long timeLeftMicros) {
         Idempotency idempotency = requestClasses.get(requestClass).idempotency();
         KeyedRequest keyed =
-                new KeyedRequest(key, idempotency, WINDOW_MICROS, WALL_SECONDS, PAYLOAD_DIGEST);
+                new KeyedRequest(
+                        key,
+                        idempotency,
+                        DEDUPLICATION_WINDOW_MICROS,
+                        WALL_SECONDS,
+                        PAYLOAD_DIGEST);
         return new RequestArrived(
                 clientId, requestClass, NO_TENANT, 0, key == null ? null : keyed, timeLeftMicros);
     }
 
-    /** The number of a new request with three seconds left. */
+    /**
+     * Handles the arrival of a client with three seconds left, which has to start a new request.
+     *
+     * @return the id of the new request
+     */
     long startRequest(long clientId, int requestClass, String key) {
         arrive(clientId, requestClass, key, 3 * MICROS_PER_SECOND);
         return onlyCommand(StartRequest.class).requestId();
     }
 
-    /** The one command of this type that the last event led to. */
+    /** Returns the command of a type, of which the last event has to have caused exactly one. */
     <T extends Command> T onlyCommand(Class<T> type) {
         List<T> found = commands.stream().filter(type::isInstance).map(type::cast).toList();
-        assertEquals(1, found.size(), "of " + type.getSimpleName() + " in " + commands);
+        assertEquals(
+                1, found.size(), "number of " + type.getSimpleName() + " commands in " + commands);
         return found.get(0);
     }
 
-    /** What the last event responded to the client, null without a response. */
+    /** Returns the outcome that the last event sent to a client, or null if it sent none. */
     RequestOutcome outcomeSentTo(long clientId) {
         for (Command command : commands) {
             if (command instanceof RespondToClient response && response.clientId() == clientId) {
--- a/src/test/java/waytrestle/requests/RandomEventRun.java
+++ b/src/test/java/waytrestle/requests/RandomEventRun.java
@@ -30,52 +30,62 @@
 import waytrestle.requests.RequestOutcome.FunctionError;
 import waytrestle.scheduler.ResponseCode;
 
-/** Random events in random order, with a check of each response that they lead to. */
+/**
+ * Plays random events in random order, and checks that no client gets a second response or a
+ * response after its deadline.
+ */
 final class RandomEventRun {
     private static final int MAX_STEP_MICROS = 100_000;
     private static final int MAX_ATTEMPTS = 3;
     private static final int REQUEST_CLASSES = 3;
-    private static final int KEYS = 6;
+    private static final int DISTINCT_KEYS = 6;
 
-    private record Timer(long expiresAt, long clientId) {}
+    /** A deadline timer that a command has set. Times are monotonic, in microseconds. */
+    private record Timer(long expiresAtMicros, long clientId) {}
 
     private final PendingRequestsFixture fixture;
     private final Random random;
-    private final Map<Long, Long> deadlines = new HashMap<>();
-    private final Map<Long, Integer> responses = new HashMap<>();
+    private final Map<Long, Long> deadlinesByClient = new HashMap<>();
+    private final Map<Long, Integer> responseCountsByClient = new HashMap<>();
     private final Set<Long> disconnected = new HashSet<>();
     private final List<Long> requestIds = new ArrayList<>(List.of(1L));
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::expiresAt));
-    private long lastClient;
+            new PriorityQueue<>(Comparator.comparingLong(Timer::expiresAtMicros));
+    private long lastClientId;
 
     RandomEventRun(PendingRequestsFixture fixture, long seed) {
         this.fixture = fixture;
         this.random = new Random(seed);
     }
 
-    /** Draws so many events, then lets all timers expire. */
+    /**
+     * Plays a number of steps, each of which either lets a due timer expire or draws an event. Then
+     * lets all remaining timers expire.
+     */
     void run(int steps) {
         for (int step = 0; step < steps || !timers.isEmpty(); step++) {
-            long next = fixture.now + random.nextInt(MAX_STEP_MICROS);
-            boolean drawn = step < steps;
-            if (!timers.isEmpty() && (timers.peek().expiresAt() <= next || !drawn)) {
+            long nextMicros = fixture.now + random.nextInt(MAX_STEP_MICROS);
+            boolean stepsLeft = step < steps;
+            if (!timers.isEmpty()
+                    && (timers.peek().expiresAtMicros() <= nextMicros || !stepsLeft)) {
                 Timer timer = timers.poll();
-                fixture.now = Math.max(fixture.now, timer.expiresAt());
-                checkAll(fixture.handle(new DeadlineExpired(timer.clientId())));
+                fixture.now = Math.max(fixture.now, timer.expiresAtMicros());
+                processCommands(fixture.handle(new DeadlineExpired(timer.clientId())));
             } else {
-                fixture.now = next;
-                checkAll(fixture.handle(nextEvent()));
+                fixture.now = nextMicros;
+                processCommands(fixture.handle(nextEvent()));
             }
         }
     }
 
+    /** Returns the ids of all clients that have arrived. */
     Set<Long> clients() {
-        return deadlines.keySet();
+        return deadlinesByClient.keySet();
     }
 
+    /** Returns whether a client got a response, or disconnected. */
     boolean hasResponseOrDisconnected(long clientId) {
-        return responses.containsKey(clientId) || disconnected.contains(clientId);
+        return responseCountsByClient.containsKey(clientId) || disconnected.contains(clientId);
     }
 
     private Event nextEvent() {
@@ -93,18 +103,21 @@
     }
 
     private Event arrival() {
-        long timeLeft = PendingRequestsFixture.MICROS_PER_SECOND / 2 + random.nextInt(2_000_000);
-        lastClient++;
-        deadlines.put(lastClient, fixture.now + timeLeft);
+        long timeLeftMicros =
+                PendingRequestsFixture.MICROS_PER_SECOND / 2 + random.nextInt(2_000_000);
+        lastClientId++;
+        deadlinesByClient.put(lastClientId, fixture.now + timeLeftMicros);
         int requestClass = random.nextInt(REQUEST_CLASSES);
-        String key = random.nextInt(4) == 0 ? null : "key" + random.nextInt(KEYS);
-        return fixture.arrival(lastClient, requestClass, key, timeLeft);
+        String key = random.nextInt(4) == 0 ? null : "key" + random.nextInt(DISTINCT_KEYS);
+        return fixture.arrival(lastClientId, requestClass, key, timeLeftMicros);
     }
 
-    /** Of a client that waits, has its response, or has not arrived yet. */
+    /**
+     * Returns the disconnection of a client that waits, has its response or has not arrived yet.
+     */
     private Event disconnection() {
-        long clientId = 1 + random.nextInt((int) lastClient + 1);
-        if (clientId <= lastClient) {
+        long clientId = 1 + random.nextInt((int) lastClientId + 1);
+        if (clientId <= lastClientId) {
             disconnected.add(clientId);
         }
         return new ClientDisconnected(clientId);
@@ -127,10 +140,10 @@
         return null;
     }
 
-    private void checkAll(List<Command> commands) {
+    private void processCommands(List<Command> commands) {
         for (Command command : commands) {
             if (command instanceof RespondToClient response) {
-                check(response.clientId());
+                checkResponse(response.clientId());
             } else if (command instanceof StartRequest start) {
                 requestIds.add(start.requestId());
             } else if (command instanceof SetDeadlineTimer timer) {
@@ -139,8 +152,13 @@
         }
     }
 
-    private void check(long clientId) {
-        assertEquals(1, responses.merge(clientId, 1, Integer::sum), "responses to one client");
-        assertTrue(fixture.now <= deadlines.get(clientId), "after its deadline");
+    private void checkResponse(long clientId) {
+        assertEquals(
+                1,
+                responseCountsByClient.merge(clientId, 1, Integer::sum),
+                "number of responses to client " + clientId);
+        assertTrue(
+                fixture.now <= deadlinesByClient.get(clientId),
+                "response to client " + clientId + " after its deadline");
     }
 }
