--- a/src/main/java/waytrestle/bench/BenchAdapter.java
+++ b/src/main/java/waytrestle/bench/BenchAdapter.java
@@ -22,20 +22,23 @@
 import waytrestle.settings.SchedulerSettingsReader;
 
 /**
- * Hosts many isolated controllers for the bench: each line in is a batch of events with one time,
- * each line out the commands of the controllers that gave any.
+ * Hosts the schedulers of many simulated controllers, isolated from each other, for the bench. Each
+ * input line is a batch of messages at one simulated time; each output line is the reply to a
+ * batch, with the commands of those controllers that have any.
  *
- * <p>Not thread-safe: used by the thread that runs it.
+ * <p>Not thread-safe: used by the thread that calls {@link #run}.
  */
 public final class BenchAdapter {
-    /** Characters of the input read at a time; most batches fit into one read. */
+    /** Input buffer size in characters; most batches fit into it, and are read at once. */
     private static final int READ_BUFFER_CHARS = 1 << 16;
 
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_USAGE = 2;
 
+    /** The running controllers, by controller id. */
     private final Map<Long, HostedController> controllers = new HashMap<>();
+
     private final EndpointLists endpointLists = new EndpointLists();
 
     /** Runs the adapter on the standard streams until the input ends, then exits the process. */
@@ -47,7 +50,10 @@
         System.exit(new BenchAdapter().run(System.in, System.out, System.err));
     }
 
-    /** Replies to each batch until the input ends or is malformed; returns the exit status. */
+    /**
+     * Replies to each batch until the input ends, is malformed, or cannot be read or written.
+     * Writes an error message to {@code err}, and returns the exit status of the process.
+     */
     int run(InputStream in, OutputStream out, PrintStream err) {
         try (BufferedReader lines = bufferedReader(in);
                 JsonGenerator json = JsonStreams.generator(out)) {
@@ -61,7 +67,7 @@
             err.println("waytrestle: " + e.getMessage());
             return EXIT_FAILURE;
         } catch (IOException e) {
-            err.println("waytrestle: cannot read or write: " + e.getMessage());
+            err.println("waytrestle: cannot read batches or write replies: " + e.getMessage());
             return EXIT_FAILURE;
         }
     }
@@ -76,19 +82,20 @@
         if (!batch.has("controllers")) {
             throw new MalformedJsonException("controllers is missing");
         }
-        // The whole batch is processed before any of its reply is written: a malformed batch
-        // leaves no half of a reply in the output.
+        // The whole batch is processed before its reply is written, so that a malformed batch
+        // leaves
+        // no partial reply in the output.
         List<ControllerReply> replies = new ArrayList<>();
         for (JsonObject entry : batch.objects("controllers")) {
-            replies.add(processEntry(nowMicros, entry));
+            replies.add(processInbox(nowMicros, entry));
         }
         CommandWriter.writeReplies(json, replies);
         json.writeRaw('\n');
         json.flush();
     }
 
-    /** Gives one controller its events, up to the first that its scheduler fails on. */
-    private ControllerReply processEntry(long nowMicros, JsonObject entry) {
+    /** Processes the messages to one controller, up to the first on which its scheduler throws. */
+    private ControllerReply processInbox(long nowMicros, JsonObject entry) {
         long controllerId = entry.requiredWholeNumber("i");
         List<SchedulerCommand> commands = new ArrayList<>();
         for (JsonObject message : entry.objects("inbox")) {
@@ -100,7 +107,11 @@
         return new ControllerReply(controllerId, commands, null);
     }
 
-    /** Processes one message; returns what the scheduler threw, or null. */
+    /**
+     * Processes one message and adds the resulting commands.
+     *
+     * @return the exception that the scheduler threw, or null if it threw none
+     */
     private RuntimeException process(
             long nowMicros,
             long controllerId,
@@ -136,11 +147,12 @@
         HostedController controller = controllers.get(controllerId);
         if (controller == null) {
             throw new MalformedJsonException(
-                    type + " came for controller " + controllerId + ", which is not up");
+                    type + " received for controller " + controllerId + ", which is not running");
         }
         return controller;
     }
 
+    /** Gives an event to a controller's scheduler; returns what the scheduler threw, or null. */
     private static RuntimeException handle(
             HostedController controller,
             long nowMicros,
--- a/src/main/java/waytrestle/bench/CommandWriter.java
+++ b/src/main/java/waytrestle/bench/CommandWriter.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import waytrestle.scheduler.SchedulerCommand;
 
-/** Writes the replies of controllers in the bench's words. Stateless. */
+/** Writes the commands of schedulers as JSON messages of the bench's wire protocol. Stateless. */
 final class CommandWriter {
-    /** The peer, on the wire, of a message to every other controller. */
+    /** Value of the member "peer" in a gossip message to all other controllers. */
     private static final String ALL_PEERS = "*";
 
     private CommandWriter() {}
 
-    /** Writes the reply to a batch; controllers with nothing to say are left out. */
+    /** Writes the reply to a batch, without the controllers whose replies are empty. */
     static void writeReplies(JsonGenerator json, List<ControllerReply> replies) throws IOException {
         json.writeStartObject();
         json.writeArrayFieldStart("controllers");
@@ -42,13 +42,14 @@
         json.writeEndObject();
     }
 
+    /** Writes the exception that a scheduler threw as a message after the controller's commands. */
     private static void writeFailure(JsonGenerator json, RuntimeException failure)
             throws IOException {
         StackTraceElement[] trace = failure.getStackTrace();
-        String place = trace.length > 0 ? " at " + trace[0] : "";
+        String location = trace.length > 0 ? " at " + trace[0] : "";
         json.writeStartObject();
         writeType(json, "CRASH");
-        json.writeStringField("body_text", failure + place);
+        json.writeStringField("body_text", failure + location);
         json.writeEndObject();
     }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /** Writes a command about an invoker that is bound to no request. */
+    /** Writes a command that concerns an invoker but no request. */
     private static void writeInvokerCommand(JsonGenerator json, SchedulerCommand command)
             throws IOException {
         if (command instanceof SchedulerCommand.PreloadFunction preload) {
--- a/src/main/java/waytrestle/bench/ControllerReply.java
+++ b/src/main/java/waytrestle/bench/ControllerReply.java
@@ -4,14 +4,14 @@
 import waytrestle.scheduler.SchedulerCommand;
 
 /**
- * What one controller replies to its part of a batch.
+ * The reply of one controller to its messages of a batch.
  *
- * @param commands the commands up to the failure, if there was one
- * @param failure what the scheduler threw, or null
+ * @param commands the commands of the controller's scheduler, up to its failure if it failed
+ * @param failure the exception that the scheduler threw, or null if it threw none
  */
 record ControllerReply(
         long controllerId, List<SchedulerCommand> commands, RuntimeException failure) {
-    /** Whether there is nothing to write. */
+    /** Returns whether the reply has neither commands nor a failure. */
     boolean isEmpty() {
         return commands.isEmpty() && failure == null;
     }
--- a/src/main/java/waytrestle/bench/EndpointLists.java
+++ b/src/main/java/waytrestle/bench/EndpointLists.java
@@ -10,28 +10,32 @@
 import waytrestle.scheduler.InvokerEndpoint;
 
 /**
- * The endpoint lists that the bench has sent, by the number under which later events name them.
- * They are shared by all controllers of the process.
+ * Stores the endpoint lists that the bench has sent, by the list id with which later messages refer
+ * to them. All controllers of the process share the lists.
  *
- * <p>Not thread-safe: used by the adapter's thread.
+ * <p>Not thread-safe: used by the thread that runs the adapter.
  */
 final class EndpointLists {
-    /** The weight of an invoker that is listed without one. */
+    /** The weight of an invoker whose entry has no weight. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private final Map<Integer, List<InvokerEndpoint>> listsById = new HashMap<>();
 
-    /** Stores the list of a message, in place of an earlier one of the same number. */
+    /** Stores the endpoint list of a message, replacing an earlier list with the same id. */
     void store(JsonObject message) {
         int listId = message.requiredWholeInt("roster_id");
         listsById.put(listId, readEndpoints(message.objects("entries")));
     }
 
-    /** The list last stored under a number. */
+    /**
+     * Returns the list last stored with an id.
+     *
+     * @throws MalformedJsonException if no list has the id
+     */
     List<InvokerEndpoint> get(int listId) {
         List<InvokerEndpoint> endpoints = listsById.get(listId);
         if (endpoints == null) {
-            throw new MalformedJsonException("roster_id names no list: " + listId);
+            throw new MalformedJsonException("roster_id is unknown: " + listId);
         }
         return endpoints;
     }
--- a/src/main/java/waytrestle/bench/EventReader.java
+++ b/src/main/java/waytrestle/bench/EventReader.java
@@ -8,9 +8,9 @@
 import waytrestle.scheduler.SchedulerSettings;
 import waytrestle.scheduler.StartKind;
 
-/** Translates the bench's messages into the events of a scheduler. Stateless. */
+/** Translates messages of the bench's wire protocol into scheduler events. Stateless. */
 final class EventReader {
-    /** The response codes, each at its number on the wire. */
+    /** The response codes, indexed by their numbers on the wire. */
     private static final ResponseCode[] RESPONSE_CODES = {
         ResponseCode.ERROR,
         ResponseCode.OK,
@@ -23,21 +23,29 @@
         ResponseCode.NOT_LOADED
     };
 
-    /** The kinds of start, each at its number on the wire. */
+    /** The kinds of function start, indexed by their numbers on the wire. */
     private static final StartKind[] START_KINDS = {
         StartKind.UNKNOWN, StartKind.WARM, StartKind.COLD, StartKind.JOINED, StartKind.LOAD_FAILED
     };
 
-    /** A detail holds the kind of start in its low bits, the concurrent requests above them. */
+    /**
+     * Number of low bits of the member "detail" that hold the kind of function start; the bits
+     * above them hold the number of concurrent requests.
+     */
     private static final int START_KIND_BITS = 3;
 
     private static final int START_KIND_MASK = (1 << START_KIND_BITS) - 1;
 
-    /** The modes of an endpoint update, by their numbers on the wire. */
+    /** Mode on the wire of an endpoint update with the complete, current list. */
     private static final int MODE_SNAPSHOT = 0;
 
+    /** Mode on the wire of an endpoint update with a complete list that may be out of date. */
     private static final int MODE_CACHED_SNAPSHOT = 1;
+
+    /** Mode on the wire of an endpoint update that failed. */
     private static final int MODE_FAILED = 2;
+
+    /** Mode on the wire of an endpoint update with the changed entries only. */
     private static final int MODE_CHANGES = 3;
 
     private static final int MICROS_PER_MILLI = 1_000;
@@ -45,10 +53,11 @@
     private EventReader() {}
 
     /**
-     * Reads the event of a message.
+     * Returns the scheduler event of a message.
      *
-     * @param type the message's type
-     * @return null for a type that this adapter does not know: the bench may add some
+     * @param settings settings of the controller that receives the message
+     * @return the event, or null for an unknown message type, since the bench may add types
+     * @throws MalformedJsonException if a member is missing or has an unexpected value
      */
     static SchedulerEvent read(
             String type,
--- a/src/main/java/waytrestle/bench/HostedController.java
+++ b/src/main/java/waytrestle/bench/HostedController.java
@@ -3,5 +3,9 @@
 import waytrestle.scheduler.RequestScheduler;
 import waytrestle.scheduler.SchedulerSettings;
 
-/** A simulated controller that is up: its scheduler, and the settings that it was started with. */
+/**
+ * A running simulated controller.
+ *
+ * @param settings the settings that the scheduler was created with
+ */
 record HostedController(SchedulerSettings settings, RequestScheduler scheduler) {}
--- a/src/main/java/waytrestle/bench/TimerTag.java
+++ b/src/main/java/waytrestle/bench/TimerTag.java
@@ -4,8 +4,9 @@
 import waytrestle.scheduler.SchedulerTimer;
 
 /**
- * The text that stands for a timer on the wire. The bench hands it back as it was given, so its
- * form is the adapter's own.
+ * Converts a scheduler timer to the text that stands for it on the wire, and back. The bench
+ * returns the text unchanged when the timer expires, so only the adapter has to understand its
+ * format. Stateless.
  */
 final class TimerTag {
     private static final String MAINTENANCE = "upkeep";
@@ -15,7 +16,7 @@
 
     private TimerTag() {}
 
-    /** The tag of a timer. */
+    /** Returns the tag of a timer. */
     static String format(SchedulerTimer timer) {
         if (timer instanceof SchedulerTimer.RequestDeadline deadline) {
             return DEADLINE_PREFIX + deadline.requestId();
@@ -26,7 +27,11 @@
         return timer instanceof SchedulerTimer.Maintenance ? MAINTENANCE : RESUBSCRIPTION;
     }
 
-    /** The timer of a tag that {@link #format} gave. */
+    /**
+     * Returns the timer of a tag that {@link #format} returned.
+     *
+     * @throws MalformedJsonException if the tag has another format
+     */
     static SchedulerTimer parse(String tag) {
         if (tag.equals(MAINTENANCE)) {
             return new SchedulerTimer.Maintenance();
@@ -47,7 +52,7 @@
         try {
             return Long.parseLong(tag.substring(prefix.length()));
         } catch (NumberFormatException e) {
-            throw new MalformedJsonException("tag holds no request's number: " + tag);
+            throw new MalformedJsonException("tag contains no request id: " + tag);
         }
     }
 }
--- a/src/main/java/waytrestle/settings/SchedulerSettingsReader.java
+++ b/src/main/java/waytrestle/settings/SchedulerSettingsReader.java
@@ -11,15 +11,15 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Translates the settings object of the simulator and of the platform into {@link
- * SchedulerSettings}. Unknown members are ignored, and absent ones read as the empty value of their
- * type.
+ * Translates the JSON settings object that the bench and the platform send into {@link
+ * SchedulerSettings}. Unknown members are ignored, and a missing member is read as the empty value
+ * of its type: 0, false, an empty text, an empty list or an empty object. Stateless.
  */
 public final class SchedulerSettingsReader {
     private SchedulerSettingsReader() {}
 
     /**
-     * Reads the settings of one scheduler.
+     * Returns the settings of one scheduler.
      *
      * @throws MalformedJsonException if a member has the wrong type
      */
--- a/src/main/java/waytrestle/settings/package-info.java
+++ b/src/main/java/waytrestle/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Reads the settings of a request scheduler from JSON, for the bench adapter as for the platform's
- * configuration.
+ * Reads the settings of a request scheduler from JSON, for the bench adapter and for the controller
+ * on the platform.
  *
- * <p>Stateless: the caller's thread does all the work.
+ * <p>The package is stateless, and all work is done on the caller's thread.
  */
 package waytrestle.settings;
--- a/src/test/java/waytrestle/bench/BenchAdapterTest.java
+++ b/src/test/java/waytrestle/bench/BenchAdapterTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter as the bench sees it: lines of batches in, lines of replies out. */
+/** Checks the output lines of the adapter for input lines with batches of messages. */
 class BenchAdapterTest {
     private static final String START =
             "{\"what\":\"UP\",\"seed\":3,\"params\":{\"balancers\":1,\"me\":0,\"tick_us\":4000,"
@@ -25,11 +25,13 @@
 
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
+    /** Returns the input line of a batch with messages to controller 0. */
     private static String batch(String inbox) {
         return "{\"now_us\":1000000,\"controllers\":[{\"i\":0,\"inbox\":[" + inbox + "]}]}\n";
     }
 
-    private String run(String input, int exitStatus) {
+    /** Runs the adapter on the input, checks its exit status and returns its output. */
+    private String run(String input, int expectedExitStatus) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int status =
                 new BenchAdapter()
@@ -37,17 +39,17 @@
                                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                                 out,
                                 new PrintStream(err, true));
-        assertEquals(exitStatus, status);
+        assertEquals(expectedExitStatus, status, "exit status");
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() {
+    void emptyBatchGetsAnEmptyReply() {
         assertEquals("{\"controllers\":[]}\n", run("{\"now_us\":1,\"controllers\":[]}\n", 0));
     }
 
     @Test
-    void aRequestIsForwardedToTheListedInvoker() {
+    void requestIsForwardedToTheListedInvoker() {
         String out = run(batch(START + "," + ENDPOINT_LIST + "," + REQUEST), 0);
         assertTrue(
                 out.contains(
@@ -56,14 +58,14 @@
     }
 
     @Test
-    void endpointListsAreResolvedInTheOrderOfEvents() {
+    void requestIsForwardedToTheInvokerOfTheLatestSnapshot() {
         String secondList = ENDPOINT_LIST.replace("h:1", "h:2").replace("\"mode\":1", "\"mode\":0");
         String out = run(batch(START + "," + ENDPOINT_LIST + "," + secondList + "," + REQUEST), 0);
         assertTrue(out.contains("\"invoker\":\"h:2\""), out);
     }
 
     @Test
-    void aRestartWithinABatchDropsAllState() {
+    void restartOfAControllerWithinABatchDropsItsRequestsAndCommands() {
         String out =
                 run(
                         batch(
@@ -81,7 +83,7 @@
     }
 
     @Test
-    void unknownEventsAndRequestsAreIgnored() {
+    void unknownMessageTypesAndRequestIdsAreIgnored() {
         String out =
                 run(
                         batch(
@@ -95,7 +97,7 @@
     }
 
     @Test
-    void malformedInputIsReportedInOneLine() {
+    void malformedInputExitsWithStatusOneAndOneLineErrorMessage() {
         for (String malformed :
                 new String[] {
                     "nonsense\n",
--- a/src/test/java/waytrestle/bench/CommandWriterTest.java
+++ b/src/test/java/waytrestle/bench/CommandWriterTest.java
@@ -12,6 +12,7 @@
 import waytrestle.scheduler.SchedulerCommand;
 import waytrestle.scheduler.SchedulerTimer;
 
+/** Checks the JSON messages that are written for scheduler commands. */
 class CommandWriterTest {
     private static final int CONTROLLER_ID = 4;
 
@@ -31,7 +32,7 @@
     }
 
     @Test
-    void requestCommandsAreWrittenInTheWordsOfTheBench() throws IOException {
+    void commandsAboutRequestsAreWrittenAsWireMessages() throws IOException {
         assertWritten(
                 "{\"what\":\"DISPATCH\",\"txn\":1,\"invoker\":\"h:1\",\"abandon_at_us\":5}",
                 new SchedulerCommand.ForwardAttempt(1, "h:1", 5));
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void invokerCommandsAreWrittenInTheWordsOfTheBench() throws IOException {
+    void commandsAboutInvokersAreWrittenAsWireMessages() throws IOException {
         assertWritten(
                 "{\"what\":\"START_COPY\",\"invoker\":\"h:1\",\"number\":3,\"fn\":\"f\"}",
                 new SchedulerCommand.PreloadFunction("h:1", "f", 3));
@@ -61,7 +62,7 @@
     }
 
     @Test
-    void gossipNamesItsPeerOrAllOfThem() throws IOException {
+    void gossipToOnePeerIsWrittenWithItsIndexAndToAllPeersWithAnAsterisk() throws IOException {
         byte[] message = {1, 2};
         assertWritten(
                 "{\"what\":\"PUBLISH\",\"peer\":2,\"content\":\"AQI=\"}",
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void theOtherCommandsAreWrittenInTheWordsOfTheBench() throws IOException {
+    void discoveryTimerAndLogCommandsAreWrittenAsWireMessages() throws IOException {
         assertWritten(
                 "{\"what\":\"TAIL\",\"want\":true}",
                 new SchedulerCommand.SubscribeToEndpoints(true));
@@ -86,7 +87,7 @@
     }
 
     @Test
-    void aFailureFollowsTheCommandsThatCameBeforeIt() throws IOException {
+    void schedulerFailureIsWrittenAfterTheCommands() throws IOException {
         RuntimeException failure = new IllegalStateException("broken");
         failure.setStackTrace(
                 new StackTraceElement[] {new StackTraceElement("Type", "method", "Type.java", 3)});
@@ -101,7 +102,7 @@
     }
 
     @Test
-    void controllersWithNothingToSayAreLeftOut() throws IOException {
+    void controllerWithoutCommandsOrFailureIsLeftOutOfTheReply() throws IOException {
         assertEquals(
                 "{\"controllers\":[]}", write(new ControllerReply(CONTROLLER_ID, List.of(), null)));
     }
--- a/src/test/java/waytrestle/bench/EventReaderTest.java
+++ b/src/test/java/waytrestle/bench/EventReaderTest.java
@@ -21,6 +21,7 @@
 import waytrestle.scheduler.StartKind;
 import waytrestle.settings.SchedulerSettingsReader;
 
+/** Checks the scheduler events that are read from the messages of the bench. */
 class EventReaderTest {
     private static final String REPORTS_CONCURRENCY =
             "{\"lanes\": [{\"name\": \"c\"}], \"domain\": {\"says_company\": true}}";
@@ -34,7 +35,7 @@
     }
 
     private static JsonObject parse(String json) {
-        return JsonObject.parse(json, "the fixture");
+        return JsonObject.parse(json, "the test message");
     }
 
     private SchedulerEvent read(String json) {
@@ -42,13 +43,14 @@
         return EventReader.read(message.text("what"), message, endpointLists, settings);
     }
 
-    private void assertMalformed(String error, String json) {
+    private void assertMalformed(String expectedMessage, String json) {
         assertEquals(
-                error, assertThrows(MalformedJsonException.class, () -> read(json)).getMessage());
+                expectedMessage,
+                assertThrows(MalformedJsonException.class, () -> read(json)).getMessage());
     }
 
     @Test
-    void anEndpointUpdateResolvesItsListAndMode() {
+    void endpointUpdateIsReadWithItsModeAndTheListOfItsId() {
         endpointLists.store(
                 parse(
                         """
@@ -78,16 +80,16 @@
     }
 
     @Test
-    void anEndpointUpdateOfAnUnknownModeOrListIsRefused() {
+    void endpointUpdateWithUnknownModeOrListIdIsMalformed() {
         assertMalformed("mode is unknown: 4", "{\"what\": \"ENDPOINTS\", \"mode\": 4}");
         assertMalformed("mode is unknown: -1", "{\"what\": \"ENDPOINTS\", \"mode\": -1}");
         assertMalformed(
-                "roster_id names no list: 5",
+                "roster_id is unknown: 5",
                 "{\"what\": \"ENDPOINTS\", \"mode\": 0, \"roster_id\": 5}");
     }
 
     @Test
-    void aRequestOfSettingsWithoutTenantsHasNone() {
+    void requestHasNoTenantIfTheSettingsHaveNone() {
         assertEquals(
                 new SchedulerEvent.RequestReceived(
                         9, 0, SchedulerEvent.NO_TENANT, "f", 100, 20, 1.5, 2, 2_500, true, false),
@@ -100,14 +102,14 @@
     }
 
     @Test
-    void aRequestOfAClassOutsideTheSettingsIsRefused() {
+    void requestOfAClassThatTheSettingsLackIsMalformed() {
         assertMalformed(
                 "service is not in the settings: 1",
                 "{\"what\": \"INBOUND\", \"txn\": 9, \"service\": 1}");
     }
 
     @Test
-    void aCompletedAttemptIsReadWithItsStartAndConcurrency() {
+    void completedAttemptIsReadWithItsStartKindAndConcurrency() {
         assertEquals(
                 new SchedulerEvent.AttemptCompleted(
                         9,
@@ -128,7 +130,7 @@
     }
 
     @Test
-    void aFailedAttemptReportsNoConcurrency() {
+    void timedOutAttemptReportsNoConcurrencyAndAnUnknownStartKind() {
         SchedulerEvent.AttemptCompleted event =
                 assertInstanceOf(
                         SchedulerEvent.AttemptCompleted.class,
@@ -141,14 +143,14 @@
     }
 
     @Test
-    void anUnknownResponseCodeIsRefused() {
+    void unknownOrMissingResponseCodeIsMalformed() {
         assertMalformed(
                 "code is unknown: 9", "{\"what\": \"REPORT_BACK\", \"txn\": 9, \"code\": 9}");
         assertMalformed("code is missing", "{\"what\": \"PROBED\", \"invoker\": \"h:1\"}");
     }
 
     @Test
-    void theOtherEventsAreReadFromTheirMembers() {
+    void streamHealthCheckPreloadAbandonmentAndTimerEventsAreReadFromTheirMembers() {
         assertEquals(
                 new SchedulerEvent.StreamStarted(9, 1, "h:1", 70),
                 read(
@@ -173,7 +175,7 @@
     }
 
     @Test
-    void gossipIsDecodedFromBase64() {
+    void gossipIsDecodedFromBase64AndOtherContentIsMalformed() {
         SchedulerEvent.GossipReceived event =
                 assertInstanceOf(
                         SchedulerEvent.GossipReceived.class,
@@ -186,7 +188,7 @@
     }
 
     @Test
-    void anUnknownMessageIsNoEvent() {
+    void unknownMessageTypeIsReadAsNull() {
         assertNull(read("{\"what\": \"NOVELTY\"}"));
     }
 }
--- a/src/test/java/waytrestle/bench/TimerTagTest.java
+++ b/src/test/java/waytrestle/bench/TimerTagTest.java
@@ -7,6 +7,7 @@
 import waytrestle.json.MalformedJsonException;
 import waytrestle.scheduler.SchedulerTimer;
 
+/** Checks that timers are restored from their tags. */
 class TimerTagTest {
     private static void assertTag(String tag, SchedulerTimer timer) {
         assertEquals(tag, TimerTag.format(timer));
@@ -14,7 +15,7 @@
     }
 
     @Test
-    void everyTimerComesBackFromItsTag() {
+    void everyKindOfTimerIsFormattedAndParsed() {
         assertTag("upkeep", new SchedulerTimer.Maintenance());
         assertTag("subscribe", new SchedulerTimer.EndpointResubscription());
         assertTag("end:12", new SchedulerTimer.RequestDeadline(12));
@@ -22,13 +23,13 @@
     }
 
     @Test
-    void anUnknownTagIsRefused() {
+    void tagWithUnknownPrefixOrWithoutRequestIdIsMalformed() {
         assertEquals(
                 "tag is unknown: later",
                 assertThrows(MalformedJsonException.class, () -> TimerTag.parse("later"))
                         .getMessage());
         assertEquals(
-                "tag holds no request's number: end:x",
+                "tag contains no request id: end:x",
                 assertThrows(MalformedJsonException.class, () -> TimerTag.parse("end:x"))
                         .getMessage());
     }
--- a/src/test/java/waytrestle/settings/SchedulerSettingsReaderTest.java
+++ b/src/test/java/waytrestle/settings/SchedulerSettingsReaderTest.java
@@ -18,13 +18,14 @@
 import waytrestle.scheduler.LoadReportSource;
 import waytrestle.scheduler.SchedulerSettings;
 
+/** Checks how the JSON settings object is read, and what the reader depends on. */
 class SchedulerSettingsReaderTest {
     private static SchedulerSettings read(String json) {
         return SchedulerSettingsReader.read(JsonObject.parse(json, "the settings"));
     }
 
     @Test
-    void everyGroupOfSettingsIsReadFromItsOwnObject() {
+    void settingsOfEachGroupAreReadFromTheirMembers() {
         SchedulerSettings settings =
                 read(
                         """
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void aRequestClassIsReadWithItsIdempotencyAndScope() {
+    void requestClassIsReadWithItsIdempotencyAndDeduplicationScope() {
         SchedulerSettings settings =
                 read(
                         """
@@ -77,7 +78,7 @@
     }
 
     @Test
-    void emptySettingsReadAsEmptyValues() {
+    void missingMembersAreReadAsEmptyValues() {
         SchedulerSettings settings = read("{}");
         assertTrue(settings.classes().isEmpty());
         assertTrue(settings.tenants().isEmpty());
@@ -88,8 +89,8 @@
     }
 
     @Test
-    void aSettingOfTheWrongTypeIsNamed() {
-        String[][] cases = {
+    void memberOfTheWrongTypeIsNamedInTheErrorMessage() {
+        String[][] errorsByJson = {
             {"{\"lanes\": 7}", "lanes must be an array"},
             {"{\"lanes\": [7]}", "lanes must be an object"},
             {"{\"tenants\": [null]}", "tenants must be an object"},
@@ -97,16 +98,21 @@
             {"{\"limits\": {\"cancel\": 1}}", "cancel must be true or false"},
             {"{\"prices\": {\"waste\": \"x\"}}", "waste must be a number"}
         };
-        for (String[] each : cases) {
+        for (String[] errorByJson : errorsByJson) {
+            String json = errorByJson[0];
+            String error = errorByJson[1];
             assertEquals(
-                    each[1],
-                    assertThrows(MalformedJsonException.class, () -> read(each[0])).getMessage());
+                    error,
+                    assertThrows(MalformedJsonException.class, () -> read(json)).getMessage());
         }
     }
 
-    /** The bench adapter, whose start is billed, loads this package: it must stay as lean. */
+    /**
+     * The bench charges the time that the bench adapter takes to start, and the adapter loads the
+     * settings and JSON packages, so they must not load further libraries.
+     */
     @Test
-    void theReaderDependsOnJsonAndTheSchedulerAlone() {
+    void settingsAndJsonPackagesDependOnlyOnJacksonCoreAndTheScheduler() {
         classes()
                 .that()
                 .resideInAnyPackage("waytrestle.settings", "waytrestle.json")
