--- a/src/main/java/waytrestle/requests/IdempotencyStore.java
+++ b/src/main/java/waytrestle/requests/IdempotencyStore.java
@@ -192,9 +192,10 @@
         }
         // A request that may have run is rejected only if all invokers drop its duplicates, and
         // they drop duplicates only within the deduplication window.
-        long notAfterMicros = known.mayHaveRunSinceMicros + request.deduplicationWindowMicros();
-        if (nowMicros < notAfterMicros) {
-            return new LookupResult.NewRequest(notAfterMicros);
+        long deduplicatedUntilMicros =
+                known.mayHaveRunSinceMicros + request.deduplicationWindowMicros();
+        if (nowMicros < deduplicatedUntilMicros) {
+            return new LookupResult.NewRequest(deduplicatedUntilMicros);
         }
         return new LookupResult.Completed(new Failed(Reason.DEDUPLICATION_WINDOW_PASSED, true));
     }
--- a/src/main/java/waytrestle/requests/PendingRequests.java
+++ b/src/main/java/waytrestle/requests/PendingRequests.java
@@ -336,12 +336,13 @@
             respond(event.clientId(), rejection);
             return;
         }
-        long deadline = now + event.timeLeftMicros();
+        long deadlineMicros = now + event.timeLeftMicros();
         if (newRequest.isLimited()) {
-            deadline = Math.min(deadline, newRequest.deduplicatedUntilMicros());
+            deadlineMicros = Math.min(deadlineMicros, newRequest.deduplicatedUntilMicros());
         }
         RequestClass requestClass = requestClasses.get(event.requestClass());
-        PendingRequest request = new PendingRequest(++lastRequestId, deadline, requestClass, event);
+        PendingRequest request =
+                new PendingRequest(++lastRequestId, deadlineMicros, requestClass, event);
         inFlight.put(request.id, request);
         admissionControl.requestStarted(now, event.tenant(), event.requestClass());
         if (event.idempotencyKey() != null) {
