--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -122,7 +122,7 @@
         @Override
         public void completed(ExchangeResult result, int instances, LoadMetrics metrics) {
             long elapsedMicros = transport.now() - sentAtMicros;
-            ResponseCode code = classifier.codeOfPreload(result);
+            ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
             listener.preloadCompleted(command.invoker(), command.function(), code);
             if (loadsInstances(command)) {
                 notifyClassifier(result, metrics, elapsedMicros);
@@ -166,7 +166,7 @@
         client.checkHealth(
                 settings.limits().connectTimeoutMicros(),
                 (result, instances, metrics) -> {
-                    ResponseCode code = classifier.codeOfPreload(result);
+                    ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
                     listener.healthCheckCompleted(command.invoker(), code);
                     dispatcher.dispatchToScheduler(
                             new HealthCheckCompleted(
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -131,7 +131,7 @@
                 "Answers by which an invoker kept, broke or left untold "
                         + "what a setting promises of it.",
                 out ->
-                        outcomes.capabilities(
+                        outcomes.forEachCapability(
                                 (invoker, promise, untold, kept, broken) -> {
                                     String labels =
                                             "invoker=\""
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public void capabilityWarning(ClassifierCommand.WarnOfCapability a) {
+    public void capabilityWarning(ClassifierCommand.WarnOfMissingCapability a) {
         LOG.warn(
                 "capability.{} invoker={} setting={} declared=\"{}\"",
                 a.unreported() ? "not_reported" : "refuted",
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -56,7 +56,7 @@
             ready.merge(invoker.endpoint.kind(), invoker.ready ? 1 : 0, Integer::sum);
         }
         state.readyInvokersByKind.forEach(
-                (kind, average) -> average.set(ready.getOrDefault(kind, 0), state.now));
+                (kind, average) -> average.setCount(ready.getOrDefault(kind, 0), state.now));
         ready.forEach(
                 (kind, count) ->
                         state.readyInvokersByKind
@@ -65,6 +65,6 @@
                                         added ->
                                                 new DecayingAverage(
                                                         FinishTimeEstimate.RATE_DECAY_MICROS))
-                                .set(count, state.now));
+                                .setCount(count, state.now));
     }
 }
