--- a/src/main/java/waytrestle/discovery/ConsulPoller.java
+++ b/src/main/java/waytrestle/discovery/ConsulPoller.java
@@ -100,7 +100,7 @@
         this.settings = settings;
         this.directory = directory;
         this.publisher = publisher;
-        StartTimes startTimes = new StartTimes(Loop::now, unixMillis);
+        StartTimes startTimes = new StartTimes(Loop::nowMicros, unixMillis);
         this.reader = new ConsulHealthReader(settings.zones(), settings.kinds(), startTimes);
         this.client =
                 new HttpClient(
@@ -142,7 +142,7 @@
 
     /** Polls once without blocking, whether or not there is a subscription. */
     public void fetch() {
-        send(NO_INDEX, event -> directory.handle(Loop.now(), event, this::publishUnlessPoll));
+        send(NO_INDEX, event -> directory.handle(Loop.nowMicros(), event, this::publishUnlessPoll));
     }
 
     /** Reads what has come meanwhile, where the event loop has been busy elsewhere for long. */
@@ -154,7 +154,7 @@
         if (!subscribed) {
             return;
         }
-        send(index, event -> directory.handle(Loop.now(), event, this::publishOrSchedule));
+        send(index, event -> directory.handle(Loop.nowMicros(), event, this::publishOrSchedule));
     }
 
     private void publishOrSchedule(Command command) {
@@ -223,6 +223,6 @@
 
     /** The earliest time at which what is found now can have happened. */
     private long earliestMicros() {
-        return Loop.now() - loop.behind();
+        return Loop.nowMicros() - loop.unseenMicros();
     }
 }
--- a/src/main/java/waytrestle/front/Fronts.java
+++ b/src/main/java/waytrestle/front/Fronts.java
@@ -41,7 +41,7 @@
         if (wait != null && wait.find()) {
             whole = Math.min(whole, Long.parseLong(wait.group(1)) * 1_000_000);
         }
-        return whole - transitMicros - (Loop.now() - e.since());
+        return whole - transitMicros - (Loop.nowMicros() - e.since());
     }
 
     public static int status(RequestOutcome end) {
--- a/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
+++ b/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
@@ -138,7 +138,7 @@
 
     private IncomingRequest toIncomingRequest(
             HttpServer.Exchange exchange, PlatformRequest request) {
-        long waitedMicros = Loop.now() - exchange.since();
+        long waitedMicros = Loop.nowMicros() - exchange.since();
         return new IncomingRequest(
                 request.requestClass(),
                 NO_TENANT,
--- a/src/main/java/waytrestle/gateway/EventLoopTransport.java
+++ b/src/main/java/waytrestle/gateway/EventLoopTransport.java
@@ -13,7 +13,7 @@
 
     @Override
     public long now() {
-        return Loop.now();
+        return Loop.nowMicros();
     }
 
     @Override
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -209,7 +209,7 @@
                         all.forEach((reason, n) -> out.sample("reason=\"" + reason + "\"", n));
                     });
             metrics.gauge("waytrestle_connections", "", server::connections);
-            metrics.gauge("waytrestle_timers", "", loop::timers);
+            metrics.gauge("waytrestle_timers", "", loop::timerCount);
             process();
             if (config.peers().listen() != null) {
                 peers =
@@ -257,8 +257,8 @@
      *     good
      */
     public void startWatchdog(IntConsumer endProcess) {
-        LoopWatchdog.Listener listener =
-                new LoopWatchdog.Listener() {
+        LoopWatchdog.StallListener listener =
+                new LoopWatchdog.StallListener() {
                     @Override
                     public void stalled(StackTraceElement[] stack) {
                         LOG.error("loop.stalled stack={}", Arrays.toString(stack));
@@ -282,7 +282,7 @@
     private void registerStalls(LoopWatchdog watchdog) {
         metrics.help(
                 "waytrestle_loop_stalls", "Times that the event loop was stuck for three seconds.");
-        metrics.gauge("waytrestle_loop_stalls", "", watchdog::stalls);
+        metrics.gauge("waytrestle_loop_stalls", "", watchdog::stallCount);
     }
 
     private void page(HttpServer.Exchange e) {
@@ -341,13 +341,13 @@
                     LOG.info("gateway.stopping in_flight={}", controller.inFlight());
                     server.stopTaking();
                     controller.startShutdown();
-                    await(Loop.now() + LINGER, Loop.now() + config.stopGraceMicros());
+                    await(Loop.nowMicros() + LINGER, Loop.nowMicros() + config.stopGraceMicros());
                 });
     }
 
     private void await(long linger, long until) {
-        boolean lingering = server.connections() > 0 && Loop.now() < linger;
-        if ((lingering || controller.inFlight() > 0) && Loop.now() < until) {
+        boolean lingering = server.connections() > 0 && Loop.nowMicros() < linger;
+        if ((lingering || controller.inFlight() > 0) && Loop.nowMicros() < until) {
             loop.after(LOOK, () -> await(linger, until));
             return;
         }
--- a/src/main/java/waytrestle/http/HttpClient.java
+++ b/src/main/java/waytrestle/http/HttpClient.java
@@ -166,7 +166,7 @@
 
         private Call(ByteBuffer[] request, Withdrawal withdrawal, ResponseHandler handler) {
             this.request = new OutgoingRequest(request);
-            this.withdrawal = new WithdrawalCheck(withdrawal, Loop::now);
+            this.withdrawal = new WithdrawalCheck(withdrawal, Loop::nowMicros);
             this.handler = handler;
         }
 
@@ -254,13 +254,13 @@
      * without one.
      */
     private PooledConnection takeIdle() {
-        long now = Loop.now();
+        long now = Loop.nowMicros();
         for (Iterator<PooledConnection> all = idle.descendingIterator(); all.hasNext(); ) {
             PooledConnection candidate = all.next();
             if (now - candidate.usedAt < restMicros) {
                 continue;
             }
-            IdleState state = candidate.transport.idle();
+            IdleState state = candidate.transport.checkIdle();
             if (state == IdleState.UNKNOWN) {
                 continue; // the look failed: it stays idle, and is looked at the next time
             }
@@ -308,13 +308,13 @@
 
         /** Whether an idle one may be used again; if not it is dropped. */
         private boolean isUsable(IdleState state) {
-            if (state == IdleState.SPOKE) {
+            if (state == IdleState.UNEXPECTED_DATA) {
                 strayResponses++;
                 drop();
             } else if (state == IdleState.ENDED) {
                 closed(null);
             }
-            return state == IdleState.FIT;
+            return state == IdleState.USABLE;
         }
 
         private void begin(Call next) {
@@ -326,7 +326,7 @@
         }
 
         private void write() {
-            writtenBefore = transport.written();
+            writtenBefore = transport.writtenBytes();
             ByteBuffer[] request = call.request.bytes();
             Call writing = call;
             if (!writing.withdrawal.isOutdated() || !writing.withdrawn()) {
@@ -338,7 +338,7 @@
         @Override
         public void connected() {
             isUp = true;
-            upSince = Loop.now();
+            upSince = Loop.nowMicros();
             // It may have come up late: what it was made for may have been withdrawn meanwhile.
             if (call != null && !call.withdrawn()) {
                 write();
@@ -381,7 +381,10 @@
             call = null;
             // A second response must not reach the connection's next request.
             boolean reusable =
-                    !closed && !moreFollows && message.keepsAlive() && transport.pending() == 0;
+                    !closed
+                            && !moreFollows
+                            && message.keepsAlive()
+                            && transport.pendingBytes() == 0;
             if (reusable) {
                 becomeIdle();
             } else {
@@ -391,7 +394,7 @@
         }
 
         private void becomeIdle() {
-            usedAt = Loop.now();
+            usedAt = Loop.nowMicros();
             idleTimer = loop.after(idleMicros, this::drop);
             idle.add(this);
             slots.idle(this, this::drop);
@@ -441,9 +444,9 @@
 
         private void noteClose(boolean wasIdle) {
             if (wasIdle) {
-                peerEnd.idleConnectionClosed(Loop.now(), usedAt);
+                peerEnd.idleConnectionClosed(Loop.nowMicros(), usedAt);
             }
-            if (connections.isEmpty() && !closed && peerEnd.hasEnded(Loop.now())) {
+            if (connections.isEmpty() && !closed && peerEnd.hasEnded(Loop.nowMicros())) {
                 loop.after(0, onLost);
             }
         }
@@ -452,7 +455,7 @@
             if (!isUp) {
                 return ExchangeBreak.NO_CONNECTION;
             }
-            boolean nothingWritten = transport.written() == writtenBefore;
+            boolean nothingWritten = transport.writtenBytes() == writtenBefore;
             return nothingWritten
                     ? ExchangeBreak.BEFORE_FIRST_BYTE
                     : ExchangeBreak.AFTER_FIRST_BYTE;
--- a/src/main/java/waytrestle/http/HttpServer.java
+++ b/src/main/java/waytrestle/http/HttpServer.java
@@ -148,7 +148,7 @@
     public void stopTaking() {
         stopping = true;
         stoppedTaking = true;
-        listener.takeAndClose();
+        listener.acceptPendingAndClose();
     }
 
     /** Closes the connections that have nothing under way, also not in the kernel. */
@@ -205,7 +205,7 @@
 
     private void serve(SocketChannel channel, InetAddress from) {
         try {
-            Connection.accepted(
+            Connection.ofAccepted(
                     loop,
                     channel,
                     limits.headerBytes() + limits.startLineBytes(),
@@ -264,7 +264,7 @@
      * answer.
      */
     private Peer leastUsed() {
-        long now = Loop.now();
+        long now = Loop.nowMicros();
         Peer best = null;
         for (Peer peer : peers.values()) {
             if (!peer.mayGiveWay()) {
@@ -357,7 +357,7 @@
         }
 
         public String client() {
-            return peer.connection.peer();
+            return peer.connection.peerAddress();
         }
 
         public void answer(int status, String type, byte[] body, String... headers) {
@@ -398,9 +398,9 @@
         private final long id;
         private Exchange exchange;
         private long since =
-                Loop.now(); // of the present wait: for a message, a head, a body, a writer
+                Loop.nowMicros(); // of the present wait: for a message, a head, a body, a writer
         private long messageSince;
-        private final long born = Loop.now();
+        private final long born = Loop.nowMicros();
         private boolean headSeen, closing, waiting, gone, asked;
         private TimerHeap.Timer timer, fresh;
 
@@ -422,11 +422,12 @@
             return connection.isOpen()
                     && exchange == null
                     && parser.idle()
-                    && connection.pending() == 0;
+                    && connection.pendingBytes() == 0;
         }
 
         private boolean busy() {
-            return (!closing && (exchange != null || !parser.idle())) || connection.pending() > 0;
+            return (!closing && (exchange != null || !parser.idle()))
+                    || connection.pendingBytes() > 0;
         }
 
         private boolean mayGiveWay() {
@@ -451,27 +452,27 @@
          */
         private void watch() {
             long most =
-                    closing || connection.pending() > 0
+                    closing || connection.pendingBytes() > 0
                             ? limits.writeMicros()
                             : parser.idle()
                                     ? limits.idleMicros()
                                     : parser.inBody() ? limits.bodyMicros() : limits.headMicros();
-            long base = connection.pending() > 0 ? connection.lastMove() : since;
+            long base = connection.pendingBytes() > 0 ? connection.lastTransferMicros() : since;
             long left =
-                    (exchange != null || waiting) && connection.pending() == 0
+                    (exchange != null || waiting) && connection.pendingBytes() == 0
                             ? most
-                            : base + most - Loop.now();
+                            : base + most - Loop.nowMicros();
             if (left > 0) {
                 timer = loop.after(left, this::watch);
                 return;
             }
             TimerHeap.Timer before = timer;
-            if (parser.idle() && !closing && connection.pending() == 0 && !unused()) {
+            if (parser.idle() && !closing && connection.pendingBytes() == 0 && !unused()) {
                 if (connection.isOpen() && timer == before) {
                     watch(); // it spoke at the last moment
                 }
-            } else if (parser.idle() || connection.pending() > 0 || closing) {
-                count(connection.pending() > 0 ? "slow_reader" : "idle");
+            } else if (parser.idle() || connection.pendingBytes() > 0 || closing) {
+                count(connection.pendingBytes() > 0 ? "slow_reader" : "idle");
                 end();
             } else {
                 count(parser.inBody() ? "slow_body" : "slow_head");
@@ -492,7 +493,7 @@
             try {
                 boolean was = parser.idle();
                 if (was) {
-                    messageSince = connection.offeredSince();
+                    messageSince = connection.offeredSinceMicros();
                 }
                 HttpMessage message = parser.next(in);
                 if (message == null && parser.inBody() && !headSeen) {
@@ -530,7 +531,7 @@
 
         /** A head or a body did not come at once: from now its own bound counts. */
         private void begun() {
-            since = Loop.now();
+            since = Loop.nowMicros();
             timer.cancel();
             watch();
         }
@@ -550,7 +551,7 @@
             if (!door.ask(id, bytes)) {
                 count("bodies_waited");
                 waiting = true;
-                connection.pause(true);
+                connection.setReadingPaused(true);
                 return;
             }
             goAhead();
@@ -569,27 +570,27 @@
             if (waiting && connection.isOpen()) {
                 waiting = false;
                 goAhead();
-                connection.pause(false);
+                connection.setReadingPaused(false);
                 begun();
-                loop.after(0, connection::offer);
+                loop.after(0, connection::offerUnreadInput);
             }
         }
 
         @Override
-        public void drained() {
+        public void outputWritten() {
             release();
             responseMayBeOut();
         }
 
         /** Once the kernel has all of the response, a close cannot cross its request any more. */
         private void responseMayBeOut() {
-            if (exchange == null && connection.pending() == 0) {
+            if (exchange == null && connection.pendingBytes() == 0) {
                 connection.delayCloseIfBroken(0);
             }
         }
 
         @Override
-        public void crammed() {
+        public void unreadInputFull() {
             if (oneAtATime) {
                 count("crammed");
                 connection.reset();
@@ -633,11 +634,11 @@
                 return;
             }
             exchange = null;
-            since = Loop.now();
+            since = Loop.nowMicros();
             responseMayBeOut();
             release();
-            if (connection.pending() > 0) {
-                door.add(id, connection.pending());
+            if (connection.pendingBytes() > 0) {
+                door.add(id, connection.pendingBytes());
             }
             if (last) {
                 closing = true;
@@ -646,7 +647,7 @@
                     end();
                 }
             } else {
-                loop.after(0, connection::offer);
+                loop.after(0, connection::offerUnreadInput);
             }
         }
 
--- a/src/main/java/waytrestle/load/LoadRun.java
+++ b/src/main/java/waytrestle/load/LoadRun.java
@@ -106,7 +106,7 @@
     public void run() throws InterruptedException {
         loop.execute(
                 () -> {
-                    began = due = stageBegan = Loop.now();
+                    began = due = stageBegan = Loop.nowMicros();
                     step();
                 });
         done.await();
@@ -122,7 +122,7 @@
 
     /** All that is due is sent; what is late still counts from its own time. */
     private void step() {
-        while (!ended && due <= Loop.now()) {
+        while (!ended && due <= Loop.nowMicros()) {
             send(due);
             advance();
         }
@@ -134,7 +134,7 @@
             }
             return;
         }
-        loop.after(due - Loop.now(), this::step);
+        loop.after(due - Loop.nowMicros(), this::step);
     }
 
     private void advance() {
@@ -222,10 +222,10 @@
             return;
         }
         tally.ends.merge(end, 1L, Long::sum);
-        tally.answers.recordValue(Math.min(HIGHEST, Loop.now() - at));
+        tally.answers.recordValue(Math.min(HIGHEST, Loop.nowMicros() - at));
         Slice slice = slice(at);
         if (served) {
-            long took = Math.min(HIGHEST, Loop.now() - at);
+            long took = Math.min(HIGHEST, Loop.nowMicros() - at);
             tally.served++;
             tally.inTime += took <= s.aimMicros() ? 1 : 0;
             tally.latency.recordValue(took);
--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -128,7 +128,7 @@
         environment.attachGossip(gossip);
         HttpServer server = startRetry.open("listener", () -> openServer(frontEnd));
         loop.execute(() -> startWatching(watchClient, startup));
-        loop.atEnd(
+        loop.addEndTask(
                 () ->
                         log.summary(
                                 controller.refusedSends(),
--- a/src/main/java/waytrestle/platform/GracefulShutdown.java
+++ b/src/main/java/waytrestle/platform/GracefulShutdown.java
@@ -63,12 +63,12 @@
     private void stopAccepting() {
         server.stopTaking();
         server.closeIdle();
-        lastInFlightMicros = Loop.now();
+        lastInFlightMicros = Loop.nowMicros();
         awaitCompletion();
     }
 
     private void awaitCompletion() {
-        long now = Loop.now();
+        long now = Loop.nowMicros();
         boolean inFlight = controller.inFlight() > 0;
         if (inFlight) {
             lastInFlightMicros = now;
--- a/src/main/java/waytrestle/standin/InvokerStandIn.java
+++ b/src/main/java/waytrestle/standin/InvokerStandIn.java
@@ -208,7 +208,7 @@
                             }
                         });
         if (underway != null && e.open()) {
-            e.whenGone(() -> underway.closed(Loop.now() - loop.turnBefore()));
+            e.whenGone(() -> underway.closed(Loop.nowMicros() - loop.previousSelectionMicros()));
         }
     }
 
--- a/src/test/java/waytrestle/http/HttpServerTest.java
+++ b/src/test/java/waytrestle/http/HttpServerTest.java
@@ -66,7 +66,7 @@
                                         "",
                                         new byte[0],
                                         "X-Waited",
-                                        Long.toString(Loop.now() - e.since()));
+                                        Long.toString(Loop.nowMicros() - e.since()));
                                 return;
                             }
                             if (e.message().path().equals("/later")) {
