--- a/src/main/java/waytrestle/discovery/ConsulPoller.java
+++ b/src/main/java/waytrestle/discovery/ConsulPoller.java
@@ -13,8 +13,8 @@
 import waytrestle.discovery.EndpointDirectory.PollFailed;
 import waytrestle.discovery.EndpointDirectory.RegisteredEndpoint;
 import waytrestle.discovery.EndpointDirectory.SnapshotReceived;
-import waytrestle.http.ExchangeBreak;
-import waytrestle.http.Held;
+import waytrestle.http.ExchangeFailure;
+import waytrestle.http.FairByteLimit;
 import waytrestle.http.HttpClient;
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpMessage;
@@ -110,7 +110,7 @@
                         MAX_CONNECTIONS,
                         settings.connectTimeoutMicros(),
                         settings.waitMicros(),
-                        new Held(Long.MAX_VALUE));
+                        new FairByteLimit(Long.MAX_VALUE));
     }
 
     /** The time limits are those of a server; a client has one for the whole exchange. */
@@ -179,12 +179,12 @@
         ResponseHandler handler =
                 new ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage response) {
+                    public void responseReceived(HttpMessage response) {
                         onResult.accept(readResponse(response));
                     }
 
                     @Override
-                    public void broken(ExchangeBreak how, String why) {
+                    public void exchangeFailed(ExchangeFailure how, String why) {
                         onResult.accept(failed());
                     }
                 };
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -340,7 +340,7 @@
                     }
                     stopping = true;
                     LOG.info("gateway.stopping in_flight={}", controller.inFlight());
-                    server.stopTaking();
+                    server.stopAccepting();
                     controller.startShutdown();
                     await(Loop.now() + LINGER, Loop.now() + config.stopGraceMicros());
                 });
@@ -358,7 +358,7 @@
                 FLUSH,
                 () -> {
                     LOG.info("gateway.stopped");
-                    admin.stopTaking();
+                    admin.stopAccepting();
                     admin.closeIdle();
                     loop.stop();
                 });
--- a/src/main/java/waytrestle/load/LoadRun.java
+++ b/src/main/java/waytrestle/load/LoadRun.java
@@ -18,8 +18,8 @@
 import waytrestle.Bytes;
 import waytrestle.config.GatewayConfig;
 import waytrestle.front.webhook.Signatures;
-import waytrestle.http.ExchangeBreak;
-import waytrestle.http.Held;
+import waytrestle.http.ExchangeFailure;
+import waytrestle.http.FairByteLimit;
 import waytrestle.http.HttpClient;
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpMessage;
@@ -97,7 +97,7 @@
                                         plan.connections(),
                                         2_000_000,
                                         60_000_000,
-                                        new Held(Long.MAX_VALUE)));
+                                        new FairByteLimit(Long.MAX_VALUE)));
             }
         }
     }
@@ -186,7 +186,7 @@
                         s.deadlineMicros(),
                         new ResponseHandler() {
                             @Override
-                            public void answered(HttpMessage m) {
+                            public void responseReceived(HttpMessage m) {
                                 ended(
                                         s,
                                         function,
@@ -199,7 +199,7 @@
                             }
 
                             @Override
-                            public void broken(ExchangeBreak how, String why) {
+                            public void exchangeFailed(ExchangeFailure how, String why) {
                                 ended(
                                         s,
                                         function,
--- a/src/main/java/waytrestle/platform/GracefulShutdown.java
+++ b/src/main/java/waytrestle/platform/GracefulShutdown.java
@@ -56,12 +56,12 @@
         }
         started = true;
         frontEnd.startShutdown();
-        server.closeAfterAnswers();
+        server.closeAfterResponses();
         loop.after(ACCEPT_MICROS, this::stopAccepting);
     }
 
     private void stopAccepting() {
-        server.stopTaking();
+        server.stopAccepting();
         server.closeIdle();
         lastInFlightMicros = Loop.now();
         awaitCompletion();
@@ -74,7 +74,7 @@
             lastInFlightMicros = now;
         }
         boolean partialMessages =
-                server.busy() > 0 && now - lastInFlightMicros < PARTIAL_MESSAGE_MICROS;
+                server.busyConnections() > 0 && now - lastInFlightMicros < PARTIAL_MESSAGE_MICROS;
         if (inFlight || partialMessages) {
             loop.after(IN_FLIGHT_CHECK_MICROS, this::awaitCompletion);
             return;
--- a/src/test/java/waytrestle/gateway/GatewayTest.java
+++ b/src/test/java/waytrestle/gateway/GatewayTest.java
@@ -316,7 +316,7 @@
     void aClientThatHangsUpEndsItsAttempt() throws Exception {
         try (GatewayFixture bed = new GatewayFixture(1).start()) {
             AtomicBoolean closed = new AtomicBoolean();
-            bed.script = a -> a.exchange().whenGone(() -> closed.set(true));
+            bed.script = a -> a.exchange().onClientDisconnect(() -> closed.set(true));
             String body = GatewayFixture.body("f");
             String at = Long.toString(bed.soon());
             try (Socket s = new Socket("127.0.0.1", bed.gateway.port())) {
