--- a/src/main/java/waytrestle/controller/Attempt.java
+++ b/src/main/java/waytrestle/controller/Attempt.java
@@ -4,16 +4,20 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * One send of a request to an invoker, and how it ended.
+ * One attempt of a request at an invoker: what the scheduler decided, and how the attempt ended.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class Attempt implements InvokerClient.AttemptListener {
     /**
-     * What is fixed when the scheduler decides on an attempt.
+     * What is fixed when the scheduler decides on an attempt. Points in time are on the monotonic
+     * clock of {@link Transport#nowMicros}.
      *
-     * @param estimateMicros the scheduler's estimate of the finish time, negative without one
-     * @param invokerWasReady whether the scheduler took the invoker for ready
+     * @param number number of the attempt within its request, counted from 0
+     * @param giveUpAtMicros when an attempt without a response ends
+     * @param estimateMicros the scheduler's estimate of the time from the decision to the response;
+     *     negative where it made none
+     * @param invokerWasReady whether the scheduler took the invoker for ready when it decided
      */
     record Plan(
             int number,
@@ -54,12 +58,12 @@
         return plan.invoker();
     }
 
-    /** Sets how the attempt is cancelled, once it has been sent. */
+    /** Sets what cancels the attempt; called once its invoker client has taken it over. */
     void setCancellation(Runnable cancellation) {
         this.cancellation = cancellation;
     }
 
-    /** Cancels the attempt; does nothing where it has not been sent. */
+    /** Cancels the attempt; does nothing where no invoker client has taken it over. */
     void cancel() {
         if (cancellation != null) {
             cancellation.run();
@@ -83,18 +87,22 @@
         completionHandler.sendDelayed(this, micros);
     }
 
+    /** Records how the attempt ended, and when. */
     void recordResult(AttemptResult attemptResult, long nowMicros) {
         result = attemptResult;
         exchangeResult = attemptResult.exchangeResult();
         completedAtMicros = nowMicros;
     }
 
-    /** Drops the response, so that its body is not kept for as long as the request is. */
+    /**
+     * Drops the response body, which would otherwise be held until the request ends. How the
+     * exchange ended is kept.
+     */
     void releaseResult() {
         result = null;
     }
 
-    /** What the invoker client returned, or null before the end and after the release. */
+    /** Returns the result, or null before the attempt ends and after {@link #releaseResult}. */
     AttemptResult result() {
         return result;
     }
@@ -103,21 +111,22 @@
         return exchangeResult != null;
     }
 
-    /** How the exchange ended, or null while it is outstanding. */
+    /** Returns how the exchange ended, or null while it is outstanding. */
     ExchangeResult exchangeResult() {
         return exchangeResult;
     }
 
+    /** Returns the monotonic time of the end; 0 while the attempt is outstanding. */
     long completedAtMicros() {
         return completedAtMicros;
     }
 
-    /** The time from the decision to the end. */
+    /** Returns the time from the scheduler's decision to the end of the attempt. */
     long elapsedMicros() {
         return completedAtMicros - plan.decidedAtMicros();
     }
 
-    /** The code given by the classifier, or null before. */
+    /** Returns the code that the classifier gave to the end, or null before it did. */
     ResponseCode code() {
         return code;
     }
--- a/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
+++ b/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
@@ -19,13 +19,13 @@
 import waytrestle.scheduler.StartKind;
 
 /**
- * Handles the ends of attempts: the classifier gives the code, then the pending requests hear it,
- * then the scheduler.
+ * Checks each attempt right before it is sent, and handles its end: the response classifier
+ * classifies the end, then the pending requests are notified, then the scheduler.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class AttemptCompletionHandler {
-    /** In place of a zone or cell; it is that of no listed invoker. */
+    /** Zone and cell of an invoker that is not listed; differs from all listed zones and cells. */
     private static final int NOT_LISTED = -1;
 
     private final Transport transport;
@@ -58,7 +58,7 @@
         this.listener = listener;
     }
 
-    /** An attempt has ended: the classifier says what that means. */
+    /** Handles the end of an attempt's exchange: has the classifier classify it. */
     void completed(Attempt attempt, AttemptResult result) {
         attempt.recordResult(result, transport.nowMicros());
         dispatcher.notifyClassifier(
@@ -76,14 +76,17 @@
     }
 
     /**
-     * How an attempt ends instead of being sent, or null to send it. Its connection may have come
-     * up late, or the event loop been busy: nothing is started for a client that has disconnected,
-     * even where attempts are not cancelled, nor at an invoker that stopped being ready meanwhile.
+     * Returns null if the attempt may be sent now, which records it as sent; otherwise how it ends
+     * instead. Asked right before the first byte is written, since the connection may have taken
+     * long or the event loop may have been busy since the scheduler decided: no work is started for
+     * a client that has disconnected, even where attempts are not cancelled, nor at an invoker that
+     * stopped being ready since the decision.
      */
     ExchangeResult.Kind checkBeforeSend(Attempt attempt) {
         OpenRequest request = attempt.request();
-        // Guards against a repeat that is not run although the request never was: its client may be
-        // found to have left right here, before anything was written.
+        // checkConnected() may find that the client has disconnected. Nothing has been written by
+        // then, so the attempt must not count as one that may have run: a later request with the
+        // idempotency key would be answered as a duplicate although the request never ran.
         dispatcher.notifyPendingRequests(
                 new PendingRequests.AttemptWaiting(request.id(), attempt.number()));
         request.firstClient().checkConnected();
@@ -100,14 +103,19 @@
                 : ExchangeResult.Kind.NO_CAPACITY;
     }
 
-    /** An attempt was sent though the process was stopped after it had been allowed. */
-    void sendDelayed(Attempt attempt, long micros) {
+    /**
+     * Reports an attempt that was sent late because the process was stopped after {@link
+     * #checkBeforeSend} had allowed it.
+     *
+     * @param delayMicros time from the check to the send
+     */
+    void sendDelayed(Attempt attempt, long delayMicros) {
         IncomingRequest incoming = attempt.request().incoming();
-        listener.attemptSendDelayed(incoming, attempt.number(), attempt.invoker(), micros);
+        listener.attemptSendDelayed(incoming, attempt.number(), attempt.invoker(), delayMicros);
     }
 
     private SendGuard.SendIntent intent(Attempt attempt) {
-        InvokerReadiness.Readiness known =
+        InvokerReadiness.Readiness current =
                 readiness.check(attempt.invoker(), attempt.plan().invokerWasReady());
         InvokerEndpoint endpoint = connections.endpoint(attempt.invoker());
         int requestClass = attempt.request().incoming().requestClass();
@@ -117,12 +125,15 @@
                 endpoint == null ? NOT_LISTED : endpoint.zone(),
                 endpoint == null ? NOT_LISTED : endpoint.cell(),
                 !attempt.request().isCompleted(),
-                known.stillReady(),
-                known.recentlyConfirmed(),
+                current.stillReady(),
+                current.recentlyConfirmed(),
                 transport.nowMicros());
     }
 
-    /** The classifier has classified an end: the pending requests hear it before the scheduler. */
+    /**
+     * Handles the classified end of an attempt: records it, then notifies the pending requests,
+     * then the scheduler.
+     */
     void classified(ClassifierCommand.CompleteAttempt command) {
         OpenRequest request = openRequests.find(command.requestId());
         Attempt attempt = request.attempts().get(command.attempt());
@@ -170,7 +181,7 @@
         return code == ResponseCode.OK || code == ResponseCode.REJECTED;
     }
 
-    /** The result or the error of the function itself, or null where it did not respond. */
+    /** Returns the response or the error of the function itself, or null where there is neither. */
     private static RequestOutcome functionOutcome(Attempt attempt, Classification classification) {
         AttemptResult result = attempt.result();
         if (result.functionResponse() != null) {
--- a/src/main/java/waytrestle/controller/AttemptResult.java
+++ b/src/main/java/waytrestle/controller/AttemptResult.java
@@ -6,14 +6,14 @@
 import waytrestle.responses.ExchangeResult;
 
 /**
- * What an attempt ended with.
+ * What an invoker client reports at the end of an attempt.
  *
  * @param exchangeResult how the exchange ended
  * @param functionResponse the function's response, only where the exchange ended with {@link
  *     ExchangeResult.Kind#RESPONSE}; null otherwise
- * @param contentType the content type of any other message; empty without one
- * @param body the body of any other message
- * @param metrics the invoker's load report
+ * @param contentType content type of a message that is no function response; empty without one
+ * @param body body of a message that is no function response
+ * @param metrics the load report that came with the message; {@link LoadMetrics#NONE} without one
  */
 public record AttemptResult(
         ExchangeResult exchangeResult,
@@ -21,7 +21,7 @@
         String contentType,
         Bytes body,
         LoadMetrics metrics) {
-    /** A result without any message. */
+    /** Returns a result without any message from the invoker. */
     public static AttemptResult of(ExchangeResult.Kind kind) {
         return new AttemptResult(ExchangeResult.of(kind), null, "", Bytes.NONE, LoadMetrics.NONE);
     }
--- a/src/main/java/waytrestle/controller/AttemptSender.java
+++ b/src/main/java/waytrestle/controller/AttemptSender.java
@@ -12,8 +12,8 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Creates, sends, withholds and cancels the attempts that the scheduler decides on. Each attempt
- * ends once, also one that is never sent.
+ * Creates, sends, withholds and cancels the attempts that the scheduler decides on. Each attempt is
+ * reported as ended exactly once, also one that is never sent.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -47,7 +47,10 @@
         this.listener = listener;
     }
 
-    /** Creates an attempt as the scheduler decided; the classifier says whether it is sent. */
+    /**
+     * Creates an attempt that the scheduler decided on, and has the classifier decide whether it is
+     * sent. An attempt that cannot be of use or has no invoker client ends unsent.
+     */
     void requestAttempt(SchedulerCommand.ForwardAttempt command) {
         OpenRequest request = openRequests.find(command.id());
         if (request == null) {
@@ -79,33 +82,39 @@
         return new Attempt(request, plan, completionHandler);
     }
 
-    /** The scheduler ends a request one tick before its deadline: nothing is outstanding later. */
+    /**
+     * Returns when the attempt is given up, on the monotonic clock. The scheduler ends a request
+     * one tick before its deadline, so no attempt may be outstanding later than that.
+     */
     private long giveUpAtMicros(OpenRequest request, SchedulerCommand.ForwardAttempt command) {
-        long latest = request.deadlineMicros() - settings.tickMicros();
+        long latestMicros = request.deadlineMicros() - settings.tickMicros();
         if (command.giveUpAtMicros() > 0) {
-            return Math.min(command.giveUpAtMicros(), latest);
+            return Math.min(command.giveUpAtMicros(), latestMicros);
         }
-        return latest;
+        return latestMicros;
     }
 
     private boolean isPointless(Attempt attempt) {
-        long now = transport.nowMicros();
+        long nowMicros = transport.nowMicros();
         return attempt.request().isCompleted()
-                || now >= attempt.plan().giveUpAtMicros()
+                || nowMicros >= attempt.plan().giveUpAtMicros()
                 || attempt.number() >= settings.limits().maxAttempts()
-                || exceedsRetryBudget(attempt, now);
+                || exceedsRetryBudget(attempt, nowMicros);
     }
 
-    /** A retry is free where the attempt before it found no instance loaded. */
-    private boolean exceedsRetryBudget(Attempt attempt, long now) {
+    /**
+     * Returns whether the attempt is a retry that admission control does not admit. A retry after
+     * an attempt that found no instance loaded does not count against the retry budget.
+     */
+    private boolean exceedsRetryBudget(Attempt attempt, long nowMicros) {
         if (attempt.number() == 0) {
             return false;
         }
         Attempt previous = attempt.request().attempts().get(attempt.number() - 1);
-        return previous.code() != ResponseCode.NOT_LOADED && !admission.admitsRetry(now);
+        return previous.code() != ResponseCode.NOT_LOADED && !admission.admitsRetry(nowMicros);
     }
 
-    /** Sends an attempt that the classifier lets pass. */
+    /** Sends an attempt that the classifier has allowed. */
     void forward(ClassifierCommand.ForwardAttempt command) {
         OpenRequest request = openRequests.find(command.requestId());
         Attempt attempt = request.attempts().get(command.attempt());
@@ -123,7 +132,10 @@
         attempt.setCancellation(cancellation);
     }
 
-    /** The id by which invokers recognise the attempts of one request. */
+    /**
+     * Returns the id by which invokers recognise all attempts of one request: the forwarded id,
+     * else the idempotency key, else one that is unique among the controllers.
+     */
     private String forwardedId(OpenRequest request) {
         IncomingRequest incoming = request.incoming();
         if (incoming.forwardedId() != null) {
@@ -135,7 +147,7 @@
         return "c" + settings.controllerIndex() + "-" + request.id();
     }
 
-    /** Ends an attempt that the classifier does not let pass. */
+    /** Ends an attempt that the classifier has not allowed. */
     void withhold(ClassifierCommand.WithholdAttempt command) {
         withhold(openRequests.find(command.requestId()).attempts().get(command.attempt()));
     }
@@ -144,12 +156,18 @@
         completeLater(attempt, ExchangeResult.Kind.WITHHELD);
     }
 
-    /** Ends an attempt once the present event has been handled. */
+    /**
+     * Ends an attempt that was not sent. The end is scheduled as a task of its own, since the
+     * handling of the current event must be complete before it.
+     */
     private void completeLater(Attempt attempt, ExchangeResult.Kind kind) {
         transport.schedule(0, () -> attempt.completed(AttemptResult.of(kind)));
     }
 
-    /** Cancels an attempt; does nothing where it is unknown or has not been sent. */
+    /**
+     * Cancels an attempt; does nothing where the request or the attempt is unknown, or no invoker
+     * client has taken the attempt over.
+     */
     void cancel(SchedulerCommand.CancelAttempt command) {
         OpenRequest request = openRequests.find(command.id());
         if (request == null) {
--- a/src/main/java/waytrestle/controller/CompletionKind.java
+++ b/src/main/java/waytrestle/controller/CompletionKind.java
@@ -2,17 +2,20 @@
 
 import waytrestle.requests.RequestOutcome;
 
-/** How a request ended for one of its clients, by the label of metrics and the access log. */
+/**
+ * How a request ended for one of its clients. Labels stand in metrics and in the access log, and do
+ * not change with the names in the code.
+ */
 enum CompletionKind {
     SERVED("served"),
     REJECTED("refused"),
     FAILED("failed"),
     CLIENT_DISCONNECTED("left");
 
-    /** The reason of a response that has none, and of a client that disconnected. */
+    /** Reason label of a function's response and of a client that disconnected: neither has one. */
     static final String NO_REASON = "";
 
-    /** The reason of an error that the function itself responded with. */
+    /** Reason label of an error that the function itself responded with. */
     private static final String FUNCTION_ERROR_REASON = "function";
 
     private final String label;
@@ -25,6 +28,7 @@
         return label;
     }
 
+    /** Returns the kind of a client that got the given outcome. */
     static CompletionKind of(RequestOutcome outcome) {
         if (outcome instanceof RequestOutcome.Served) {
             return SERVED;
@@ -35,7 +39,7 @@
         return FAILED;
     }
 
-    /** The label of the reason for an outcome, or {@link #NO_REASON}. */
+    /** Returns the label of the reason for an outcome, or {@link #NO_REASON}. */
     static String reasonLabel(RequestOutcome outcome) {
         if (outcome instanceof RequestOutcome.Rejected rejected) {
             return rejected.reason().code();
--- a/src/main/java/waytrestle/controller/Controller.java
+++ b/src/main/java/waytrestle/controller/Controller.java
@@ -17,8 +17,9 @@
 
 /**
  * The entry point of one controller, in service or in a simulation: connects the pending requests,
- * the response classifier and the scheduler with clients and invokers. It takes no decision of its
- * own.
+ * the response classifier and the scheduler with clients and invokers. The controller takes no
+ * decision of its own. All points in time are microseconds on the clock of {@link Transport}, where
+ * nothing else is said.
  *
  * <p>Not thread-safe: owned by the controller's event loop.
  */
@@ -28,7 +29,7 @@
         /**
          * Creates a scheduler.
          *
-         * @param seed of its random choices
+         * @param seed seed of the scheduler's random choices
          */
         RequestScheduler create(SchedulerSettings settings, long seed);
     }
@@ -44,7 +45,7 @@
     private final EndpointListExpiry listExpiry;
 
     /**
-     * Creates a controller without invokers; it gets them by {@link #endpointsUpdated}.
+     * Creates a controller without invokers; {@link #endpointsUpdated} adds them.
      *
      * @param wallMillis the wall clock, in milliseconds since the epoch
      */
@@ -205,7 +206,7 @@
         return wallClock.seconds();
     }
 
-    /** Begins a graceful shutdown: new requests are rejected, those in flight go on. */
+    /** Begins a graceful shutdown: new requests are rejected, requests in flight go on. */
     public void startShutdown() {
         dispatcher.dispatchToPendingRequests(new PendingRequests.ShutdownStarted());
     }
@@ -215,18 +216,20 @@
         dispatcher.dispatchToPendingRequests(new PendingRequests.ShutdownGraceExpired());
     }
 
-    /** Takes an endpoint list, a snapshot or changes only. */
+    /** Handles an endpoint list, which is a snapshot or holds changes only. */
     public void endpointsUpdated(EndpointsUpdated update) {
         connections.update(update);
         dispatcher.dispatchToClassifier(new ClassifierEvent.EndpointListReceived(update));
     }
 
     /**
-     * Service discovery was heard from, went out of reach or came back.
+     * Handles a message from service discovery, the loss of its connection or its return, by which
+     * the endpoint list becomes more or less fresh.
      *
-     * @param receivedAtMicros from when on all that discovery holds counts as received here, unless
-     *     it is heard from again; {@link Long#MAX_VALUE} where that is not limited
-     * @param catchingUp whether what is missing is being delivered
+     * @param receivedAtMicros when every change that service discovery holds counts as received by
+     *     this controller, even if unread, unless service discovery is heard from again before;
+     *     {@link Long#MAX_VALUE} where there is no such time
+     * @param catchingUp whether service discovery is delivering the changes that are missing here
      */
     public void listFreshnessChanged(long receivedAtMicros, boolean catchingUp) {
         listExpiry.setReceivedAt(receivedAtMicros);
@@ -234,50 +237,57 @@
                 new SchedulerEvent.ListFreshnessChanged(receivedAtMicros, catchingUp));
     }
 
-    /** The endpoint list could not be fetched. */
+    /** Notifies the scheduler that the endpoint list could not be fetched. */
     public void endpointUpdateFailed() {
         dispatcher.dispatchToScheduler(new SchedulerEvent.EndpointUpdateFailed());
     }
 
     /**
-     * An invoker has a new address: its next entry in an endpoint list opens a client there, and
-     * what is outstanding at the old address ends.
+     * Closes the client of an invoker whose address has changed, which ends all exchanges with the
+     * old address. The next endpoint list with the invoker opens a client to the new address.
      */
     public void addressChanged(String invoker) {
         connections.disconnect(invoker);
     }
 
-    /** Another controller sent a message. */
+    /**
+     * Passes a message from another controller to the scheduler.
+     *
+     * @param peer number of the controller that sent the message
+     */
     public void gossipReceived(int peer, byte[] message) {
         dispatcher.dispatchToScheduler(new SchedulerEvent.GossipReceived(peer, message));
     }
 
-    /** Entries kept beyond the ends of requests; 0 once all attempts have ended too. */
+    /**
+     * Returns the number of table entries held for requests, their clients and their attempts; 0
+     * once every request and every attempt has ended.
+     */
     public int retainedEntries() {
         return openRequests.size() + waitingClients.size() + classifier.retainedEntries();
     }
 
-    /** What the guard of all sends has held back, by reason. */
+    /** Returns how many sends the send guard has refused since the start, by reason. */
     public Map<SendGuard.Refusal, Long> refusedSends() {
         return sendGuard.counts();
     }
 
-    /** Requests in flight, each counted once however many clients wait for it. */
+    /** Returns the number of requests in flight; a request that several clients wait for is one. */
     public int inFlight() {
         return pendingRequests.inFlight();
     }
 
-    /** Invokers that are listed as ready. */
+    /** Returns the number of invokers that are listed as ready. */
     public int readyInvokerCount() {
         return connections.readyCount();
     }
 
-    /** Invokers that there is a client for. */
+    /** Returns the number of invokers that have a client. */
     public int invokerClientCount() {
         return connections.clientCount();
     }
 
-    /** Open connections to all invokers. */
+    /** Returns the number of open connections to all invokers. */
     public int openConnections() {
         return connections.openConnections();
     }
--- a/src/main/java/waytrestle/controller/ControllerDependencies.java
+++ b/src/main/java/waytrestle/controller/ControllerDependencies.java
@@ -9,9 +9,10 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * The parts that a gateway, a platform or a simulation assembles its controller from.
+ * The components that a gateway, the platform or a simulation creates its controller with.
  *
- * @param functionHints what is known of a function whose requests say nothing of it
+ * @param functionHints returns what the configuration declares of a function, by its name; used for
+ *     requests that declare nothing themselves
  */
 public record ControllerDependencies(
         SchedulerSettings settings,
--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -10,94 +10,120 @@
 import waytrestle.scheduler.SchedulerEvent;
 
 /**
- * Observes a controller, for metrics and logs; no decision depends on it. Called on the
- * controller's event loop.
+ * Observes a controller, for metrics and logs; no decision depends on it. All methods are called on
+ * the controller's event loop. Durations are in microseconds.
  */
 public interface ControllerListener {
     /**
-     * A request has ended for a client.
+     * Called when a request has ended for one of its clients.
      *
-     * @param end the label of how it ended: served, refused, failed or left
-     * @param reason the label of the reason, empty without one
-     * @param micros the time since the request was accepted; 0 where its client disconnected
+     * @param end how it ended, as a label of metrics: served, refused, failed or left
+     * @param reason label of the reason; empty without one
+     * @param elapsedMicros time since the client's request was accepted; 0 where the client
+     *     disconnected
      */
     default void requestCompleted(
-            IncomingRequest request, String end, String reason, long micros) {}
+            IncomingRequest request, String end, String reason, long elapsedMicros) {}
 
-    /** An attempt has ended, also one that was never sent. */
+    /**
+     * Called when an attempt has ended, also for one that was never sent.
+     *
+     * @param elapsedMicros time from the scheduler's decision to the end
+     */
     default void attemptCompleted(
-            ResponseCode code, String invoker, ExchangeResult result, long micros) {}
+            ResponseCode code, String invoker, ExchangeResult result, long elapsedMicros) {}
 
-    /** A request came again with the identity of an earlier one, and is not run again. */
+    /**
+     * Called when a request has the idempotency key of an earlier request, and so is not run.
+     *
+     * @param kind whether the client joins the earlier request or is answered at once
+     */
     default void requestRepeated(IncomingRequest request, PendingRequests.RepeatKind kind) {}
 
     /**
-     * An attempt has ended, also one that was never sent; with what it takes to follow its request.
+     * Called with each call of {@link #attemptCompleted}, with the request that the attempt belongs
+     * to instead of the exchange: for logs that follow single requests.
      *
-     * @param attempt its number within the request
+     * @param attempt number of the attempt within the request, counted from 0
      */
     default void requestAttemptCompleted(
             IncomingRequest request, int attempt, String invoker, ResponseCode code) {}
 
     /**
-     * The guard has held an attempt back.
+     * Called when the send guard has refused an attempt right before it was to be sent.
      *
-     * @param attempt its number within the request
+     * @param attempt number of the attempt within the request, counted from 0
      */
     default void sendRefused(
             IncomingRequest request, int attempt, String invoker, SendGuard.Refusal reason) {}
 
-    /** What is sent to an invoker and begins new work there. */
+    /** The kinds of message that begin new work at an invoker. */
     enum WorkKind {
         ATTEMPT,
         PRELOAD
     }
 
     /**
-     * New work was sent though the endpoint list has been outdated for longer than the drain grace.
+     * Called when new work was sent though the endpoint list had been outdated for longer than the
+     * drain grace.
      */
     default void sentOnExpiredList(WorkKind kind) {}
 
     /**
-     * An attempt was sent so long after its last check, since the process was stopped between the
-     * two: it may have come to an invoker that drained meanwhile.
+     * Called when an attempt was sent late because the process was stopped between the last check
+     * and the send: the invoker may have begun draining meanwhile.
+     *
+     * @param attempt number of the attempt within the request, counted from 0
+     * @param delayMicros time from the last check to the send
      */
     default void attemptSendDelayed(
-            IncomingRequest request, int attempt, String invoker, long micros) {}
+            IncomingRequest request, int attempt, String invoker, long delayMicros) {}
 
-    /** A preload request was sent so long after its last check, likewise. */
-    default void preloadSendDelayed(String invoker, String function, long micros) {}
+    /**
+     * Called when a preload request was sent late because the process was stopped between the last
+     * check and the send: the invoker may have begun draining meanwhile.
+     *
+     * @param delayMicros time from the last check to the send
+     */
+    default void preloadSendDelayed(String invoker, String function, long delayMicros) {}
 
-    /** A preload request, or a question for loaded instances, has ended. */
+    /**
+     * Called when a preload request has ended, also one that only asked for the number of loaded
+     * instances.
+     */
     default void preloadCompleted(String invoker, String function, ResponseCode code) {}
 
-    /** A health check has ended. */
+    /** Called when a health check has ended. */
     default void healthCheckCompleted(String invoker, ResponseCode code) {}
 
-    /** A preload request has passed the limit that holds after a start. */
+    /**
+     * Called when a preload request was not held back by the limit on preloads after a start; it
+     * may still not be sent.
+     */
     default void preloadAdmitted() {}
 
-    /** An invoker is ejected as an outlier for this time. */
-    default void invokerEjected(String invoker, long micros) {}
+    /** Called when an invoker is ejected as an outlier for the given duration. */
+    default void invokerEjected(String invoker, long durationMicros) {}
 
-    /** An ejected invoker gets requests again. */
+    /** Called when an ejected invoker gets requests again. */
     default void invokerReadmitted(String invoker) {}
 
-    /** An invoker breaks or never reports a capability that the settings declare. */
+    /** Called when an invoker lacks or never reports a capability that the settings declare. */
     default void capabilityWarning(ClassifierCommand.WarnOfCapability warning) {}
 
-    /** An invoker is gone; nothing of it needs to be kept. */
+    /** Called when an invoker is no longer listed; nothing about it needs to be kept. */
     default void invokerRemoved(String invoker) {}
 
     /**
-     * A decision of the scheduler threw.
+     * Called when the scheduler threw an exception or a stack overflow while handling an event.
      *
-     * @param recentEvents the last events up to and including the failed one, to replay it; valid
-     *     only during this method
+     * @param event the event that the scheduler was handling
+     * @param recentEvents the latest events, of which {@code event} is the last, to replay the
+     *     failure; valid only during this call
      */
     void decisionFailed(
             SchedulerEvent event, Collection<SchedulerEvent> recentEvents, Throwable cause);
 
-    /** A line for the log. */
+    /** Writes a line to the log. */
     void logMessage(String text);
 }
--- a/src/main/java/waytrestle/controller/EndpointListExpiry.java
+++ b/src/main/java/waytrestle/controller/EndpointListExpiry.java
@@ -1,8 +1,10 @@
 package waytrestle.controller;
 
 /**
- * Until when the endpoint list may be acted on by itself: the drain grace after all that service
- * discovery holds counts as received here.
+ * Tells until when new work may be sent by the endpoint list alone: for the drain grace after the
+ * time when every change that service discovery holds counts as received by this controller.
+ * Afterwards an invoker that is listed as ready may be one that must get no new work. Times are
+ * microseconds on the clock of {@link Transport}.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -14,12 +16,15 @@
         this.drainGraceMicros = drainGraceMicros;
     }
 
-    /** Sets when all that service discovery holds counts as received; MAX_VALUE while it does. */
-    void setReceivedAt(long micros) {
-        receivedAtMicros = micros;
+    /**
+     * Sets when every change that service discovery holds counts as received; {@link
+     * Long#MAX_VALUE}, the initial value, where there is no such time.
+     */
+    void setReceivedAt(long receivedAtMicros) {
+        this.receivedAtMicros = receivedAtMicros;
     }
 
-    /** Whether the list has been outdated for longer than the grace. */
+    /** Returns whether the endpoint list has been outdated for longer than the drain grace. */
     boolean isExpired(long nowMicros) {
         return nowMicros - drainGraceMicros > receivedAtMicros;
     }
--- a/src/main/java/waytrestle/controller/EventDispatcher.java
+++ b/src/main/java/waytrestle/controller/EventDispatcher.java
@@ -11,24 +11,25 @@
 import waytrestle.scheduler.SchedulerEvent;
 
 /**
- * Delivers events to the three state machines of a controller and passes their commands to the
- * classes that carry them out.
+ * Delivers events to the three state machines of a controller (pending requests, response
+ * classifier, scheduler) and passes their commands to the classes that carry them out.
  *
  * <ul>
- *   <li>Commands of the {@link PendingRequests} are carried out as they are given.
- *   <li>Commands of the {@link ResponseClassifier} are carried out after its event, since they may
- *       lead to its next event.
+ *   <li>Each command of the {@link PendingRequests} is carried out at once, while the event is
+ *       being handled.
+ *   <li>Commands of the {@link ResponseClassifier} are carried out after it has handled the event,
+ *       since they may lead to its next event.
  *   <li>Events for the scheduler are queued by the {@link SchedulerEventLoop}.
  * </ul>
  *
- * <p>The {@code dispatch} methods are for events from outside: they also let the scheduler handle
- * what follows. The {@code notify} and {@code enqueue} methods are for events that arise while a
- * command is carried out.
+ * <p>The {@code dispatch} methods are for events from outside the controller: they also let the
+ * scheduler handle the events that follow. The {@code notify} and {@code enqueue} methods are for
+ * events that arise while a command is carried out.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class EventDispatcher {
-    /** Commands of the classifier that most events lead to, at most. */
+    /** Initial list capacity: few events lead to more commands of the classifier. */
     private static final int USUAL_CLASSIFIER_COMMANDS = 2;
 
     private final Transport transport;
@@ -47,17 +48,23 @@
         this.schedulerLoop = new SchedulerEventLoop(transport, dependencies.scheduler());
     }
 
-    /** Sets who carries out commands and handles failures; once, before the first event. */
+    /**
+     * Sets what carries out commands and handles failures. Called once, before the first event.
+     *
+     * @param failureHandler called when the scheduler throws
+     * @param endpointsHandledListener called when the scheduler has handled an endpoint list,
+     *     before the scheduler's commands are carried out
+     */
     void setHandlers(
             Consumer<PendingRequests.Command> pendingRequestsCommands,
             Consumer<ClassifierCommand> classifierCommands,
             Consumer<SchedulerCommand> schedulerCommands,
             SchedulerEventLoop.FailureHandler failureHandler,
-            Runnable endpointsListener) {
+            Runnable endpointsHandledListener) {
         this.pendingRequestsCommandHandler = pendingRequestsCommands::accept;
         this.classifierCommandHandler = classifierCommands;
         schedulerLoop.setHandlers(schedulerCommands, failureHandler);
-        schedulerLoop.setEndpointsHandledListener(endpointsListener);
+        schedulerLoop.setEndpointsHandledListener(endpointsHandledListener);
     }
 
     /** Delivers an event to the pending requests, then lets the scheduler handle its queue. */
@@ -72,19 +79,19 @@
         runScheduler();
     }
 
-    /** Queues an event for the scheduler and lets it handle its queue. */
+    /** Queues an event for the scheduler, then lets the scheduler handle its queue. */
     void dispatchToScheduler(SchedulerEvent event) {
         enqueueForScheduler(event);
         runScheduler();
     }
 
-    /** Delivers an event to the pending requests alone. */
+    /** Delivers an event to the pending requests without running the scheduler. */
     void notifyPendingRequests(PendingRequests.Event event) {
         pendingRequests.handle(
                 transport.nowMicros(), wallClock.seconds(), event, pendingRequestsCommandHandler);
     }
 
-    /** Delivers an event to the classifier alone. */
+    /** Delivers an event to the classifier without running the scheduler. */
     void notifyClassifier(ClassifierEvent event) {
         List<ClassifierCommand> commands = new ArrayList<>(USUAL_CLASSIFIER_COMMANDS);
         classifier.handle(transport.nowMicros(), event, commands::add);
@@ -93,12 +100,14 @@
         }
     }
 
-    /** Queues an event for the scheduler. */
+    /** Queues an event for the scheduler without running it. */
     void enqueueForScheduler(SchedulerEvent event) {
         schedulerLoop.enqueue(event);
     }
 
-    /** Lets the scheduler handle its queue; does nothing where it is doing so already. */
+    /**
+     * Lets the scheduler handle its queue; does nothing while the scheduler is doing so already.
+     */
     void runScheduler() {
         schedulerLoop.run();
     }
--- a/src/main/java/waytrestle/controller/FailureThreshold.java
+++ b/src/main/java/waytrestle/controller/FailureThreshold.java
@@ -3,10 +3,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides whether the process goes on after a decision of the scheduler threw. One failed decision
- * fails one request; many within a time window mean that the scheduler's state is corrupt, and a
- * restart with a fresh one serves better. Symptom: a process that looks healthy to load balancers
- * while every decision in it throws.
+ * Counts failed decisions of the scheduler, ones that threw, and tells when they are too many. One
+ * failed decision fails one request; many within a time window mean that the scheduler's state is
+ * corrupt, and a restart with a fresh state serves better. Guards against a process that looks
+ * healthy to load balancers while every decision in it throws.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -17,17 +17,20 @@
     private final long windowMicros;
     private final ArrayDeque<Long> failureTimes = new ArrayDeque<>();
 
-    /** Tolerates this many failures within any window of this length. */
+    /**
+     * Creates a threshold that tolerates up to {@code maxFailures} within any {@code windowMicros}.
+     */
     public FailureThreshold(int maxFailures, long windowMicros) {
         this.maxFailures = maxFailures;
         this.windowMicros = windowMicros;
     }
 
+    /** Returns the number of failures and the window that are tolerated, in words. */
     String description() {
         return maxFailures + " decisions failed within " + windowMicros / MICROS_PER_MILLI + " ms";
     }
 
-    /** Counts a failure; true when the process should stop. */
+    /** Records a failure and returns whether there are now too many within the window. */
     public boolean recordFailure(long nowMicros) {
         failureTimes.add(nowMicros);
         while (failureTimes.peek() < nowMicros - windowMicros) {
--- a/src/main/java/waytrestle/controller/InvokerConnections.java
+++ b/src/main/java/waytrestle/controller/InvokerConnections.java
@@ -10,7 +10,7 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
 /**
- * The clients of the listed invokers, and which invokers are listed as ready.
+ * Holds the client of each listed invoker, and which invokers are listed as ready.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -22,10 +22,13 @@
     private final Map<String, InvokerEndpoint> endpoints = new HashMap<>();
     private final Set<String> readyInvokers = new HashSet<>();
 
-    /** Invokers that stopped being ready, of which the scheduler has not heard yet. */
-    private final Set<String> leavingInvokers = new HashSet<>();
+    /**
+     * Invokers that stopped being ready by an endpoint list that the scheduler has yet to handle.
+     */
+    private final Set<String> newlyUnready = new HashSet<>();
 
-    private int updatesBeforeScheduler;
+    /** Number of endpoint lists that are applied here but not yet handled by the scheduler. */
+    private int updatesAheadOfScheduler;
 
     InvokerConnections(
             Transport transport, EventDispatcher dispatcher, ControllerListener listener) {
@@ -34,7 +37,10 @@
         this.listener = listener;
     }
 
-    /** The client of an invoker, or null where the invoker is not listed. */
+    /**
+     * Returns the client of an invoker, or null where the invoker is not listed or has been
+     * disconnected since it was last listed.
+     */
     InvokerClient findClient(String invoker) {
         return clients.get(invoker);
     }
@@ -47,16 +53,19 @@
         return readyInvokers.contains(invoker);
     }
 
-    /** Whether the scheduler takes the invoker for ready: it may hear of an update later. */
+    /**
+     * Returns whether the scheduler takes the invoker for ready. The scheduler may handle an
+     * endpoint list later than this class does.
+     */
     boolean isReadyToScheduler(String invoker) {
-        return isReady(invoker) || leavingInvokers.contains(invoker);
+        return isReady(invoker) || newlyUnready.contains(invoker);
     }
 
-    /** The scheduler has heard of an update. */
+    /** Records that the scheduler has handled one more endpoint list. */
     void schedulerHandledUpdate() {
-        updatesBeforeScheduler = Math.max(0, updatesBeforeScheduler - 1);
-        if (updatesBeforeScheduler == 0) {
-            leavingInvokers.clear();
+        updatesAheadOfScheduler = Math.max(0, updatesAheadOfScheduler - 1);
+        if (updatesAheadOfScheduler == 0) {
+            newlyUnready.clear();
         }
     }
 
@@ -72,22 +81,24 @@
         return clients.values().stream().mapToInt(InvokerClient::openConnections).sum();
     }
 
-    /** The last entry of the endpoint list for an invoker, or null where it is not listed. */
+    /**
+     * Returns the latest entry of an invoker in the endpoint list, or null where it is not listed.
+     */
     InvokerEndpoint endpoint(String invoker) {
         return endpoints.get(invoker);
     }
 
     /**
-     * Whether an invoker may still get what was decided for it: not where it stopped being ready
-     * since.
+     * Returns whether an invoker may still get work that the scheduler chose it for, which is false
+     * if it has stopped being ready since the decision.
      *
-     * @param wasReady whether the invoker was ready at the decision
+     * @param wasReady whether the scheduler took the invoker for ready at the decision
      */
     boolean isStillEligible(String invoker, boolean wasReady) {
         return !wasReady || isReady(invoker);
     }
 
-    /** Opens and closes clients as an endpoint list demands. */
+    /** Applies an endpoint list: opens and closes clients and records which invokers are ready. */
     void update(EndpointsUpdated update) {
         if (update.snapshot()) {
             removeUnlisted(update);
@@ -98,7 +109,7 @@
         updateReadiness(update);
     }
 
-    /** What a snapshot leaves out is gone, its connections with it. */
+    /** Closes the clients of all invokers that a snapshot leaves out: these invokers are gone. */
     private void removeUnlisted(EndpointsUpdated snapshot) {
         Set<String> listed = new HashSet<>();
         snapshot.entries().forEach(endpoint -> listed.add(endpoint.id()));
@@ -150,8 +161,8 @@
     }
 
     private void updateReadiness(EndpointsUpdated update) {
-        updatesBeforeScheduler++;
-        Set<String> before = Set.copyOf(readyInvokers);
+        updatesAheadOfScheduler++;
+        Set<String> previouslyReady = Set.copyOf(readyInvokers);
         if (update.snapshot()) {
             readyInvokers.clear();
         }
@@ -162,9 +173,9 @@
                 readyInvokers.remove(endpoint.id());
             }
         }
-        for (String invoker : before) {
+        for (String invoker : previouslyReady) {
             if (!isReady(invoker)) {
-                leavingInvokers.add(invoker);
+                newlyUnready.add(invoker);
             }
         }
     }
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -16,8 +16,8 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Sends what the scheduler asks of invokers beside attempts: preload and unload requests, health
- * checks, the closing of idle connections.
+ * Carries out the commands of the scheduler to invokers that are no attempts: sends preload
+ * requests, unload requests and health checks, and closes idle connections.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -54,7 +54,10 @@
         this.listener = listener;
     }
 
-    /** Sends a preload request, within the limit that holds after a start. */
+    /**
+     * Sends a preload request, within the limit on preloads after a start. A request over the limit
+     * or to an invoker without a client is not sent and ends with a code that says so.
+     */
     void preload(SchedulerCommand.PreloadFunction command) {
         if (loadsInstances(command) && !startupPreloadLimit.tryAcquire(transport.nowMicros())) {
             failPreloadLater(command, ResponseCode.NOT_SENT);
@@ -73,7 +76,7 @@
                 new PreloadListener(command));
     }
 
-    /** Whether a preload request may load instances; otherwise it only asks how many there are. */
+    /** Returns whether a preload request may load instances, or only asks how many are loaded. */
     private static boolean loadsInstances(SchedulerCommand.PreloadFunction command) {
         return command.instances() > 0;
     }
@@ -84,12 +87,12 @@
                         command.invoker(), command.function(), code, 0, 0));
     }
 
-    /** Dispatches an event once the present one has been handled. */
+    /** Dispatches an event to the scheduler as a task of its own, after the current event. */
     private void dispatchLater(SchedulerEvent event) {
         transport.schedule(0, () -> dispatcher.dispatchToScheduler(event));
     }
 
-    /** Waits for the end of a preload request. */
+    /** Checks one preload request before it is sent, and reports its end. */
     private final class PreloadListener implements InvokerClient.OperationListener {
         private final SchedulerCommand.PreloadFunction command;
         private final long sentAtMicros = transport.nowMicros();
@@ -103,10 +106,12 @@
         @Override
         public ExchangeResult.Kind checkBeforeSend() {
             if (!loadsInstances(command)) {
-                return null; // it begins no work
+                return null; // a preload request that only asks begins no work
             }
-            InvokerReadiness.Readiness known = readiness.check(command.invoker(), invokerWasReady);
-            if (sendGuard.preloadRefusal(known.stillReady(), known.recentlyConfirmed()) != null) {
+            InvokerReadiness.Readiness current =
+                    readiness.check(command.invoker(), invokerWasReady);
+            if (sendGuard.preloadRefusal(current.stillReady(), current.recentlyConfirmed())
+                    != null) {
                 return ExchangeResult.Kind.NO_CAPACITY;
             }
             readiness.recordSent(ControllerListener.WorkKind.PRELOAD);
@@ -114,11 +119,11 @@
         }
 
         @Override
-        public void sendDelayed(long micros) {
-            listener.preloadSendDelayed(command.invoker(), command.function(), micros);
+        public void sendDelayed(long delayMicros) {
+            listener.preloadSendDelayed(command.invoker(), command.function(), delayMicros);
         }
 
-        /** Notifies the classifier of the end, then the scheduler. */
+        /** Notifies the classifier of the end of the preload request, then the scheduler. */
         @Override
         public void completed(ExchangeResult result, int instances, LoadMetrics metrics) {
             long elapsedMicros = transport.nowMicros() - sentAtMicros;
@@ -145,7 +150,7 @@
         }
     }
 
-    /** Sends an unload request; nobody waits for its end. */
+    /** Sends an unload request, whose outcome is not reported; does nothing without a client. */
     void unload(SchedulerCommand.UnloadFunction command) {
         InvokerClient client = connections.findClient(command.invoker());
         if (client != null) {
@@ -153,7 +158,7 @@
         }
     }
 
-    /** Sends a health check. */
+    /** Sends a health check and dispatches its result to the scheduler. */
     void checkHealth(SchedulerCommand.CheckHealth command) {
         InvokerClient client = connections.findClient(command.invoker());
         long sentAtMicros = transport.nowMicros();
@@ -178,7 +183,7 @@
                 });
     }
 
-    /** Closes the idle connections to an invoker. */
+    /** Closes the idle connections to an invoker; does nothing without a client. */
     void closeIdleConnections(SchedulerCommand.CloseIdleConnections command) {
         InvokerClient client = connections.findClient(command.invoker());
         if (client != null) {
--- a/src/main/java/waytrestle/controller/InvokerReadiness.java
+++ b/src/main/java/waytrestle/controller/InvokerReadiness.java
@@ -4,7 +4,7 @@
 import waytrestle.scheduler.RequestScheduler;
 
 /**
- * What is known of an invoker at the moment when new work is about to be sent there.
+ * Checks, right before new work is sent to an invoker, whether the invoker may still get it.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -32,18 +32,21 @@
     }
 
     /**
-     * What is known of an invoker.
+     * The readiness of an invoker right before a send.
      *
-     * @param stillReady whether it has not stopped being ready since the decision
-     * @param recentlyConfirmed whether its readiness was confirmed lately enough
+     * @param stillReady whether the invoker has not stopped being ready since the scheduler chose
+     *     it
+     * @param recentlyConfirmed whether the invoker's readiness was confirmed recently enough for
+     *     the scheduler to begin new work there
      */
     record Readiness(boolean stillReady, boolean recentlyConfirmed) {}
 
     /**
-     * Looks first at what service discovery has sent. Guards against sends of a process that has
-     * not run for a while, with the event that forbids them still unread.
+     * Returns the readiness of an invoker, after reading what service discovery has sent so far.
+     * Reading first guards against work that a process sends after a stop, while the endpoint
+     * update that forbids it is still unread.
      *
-     * @param wasReady whether the invoker was ready at the decision
+     * @param wasReady whether the scheduler took the invoker for ready when it chose it
      */
     Readiness check(String invoker, boolean wasReady) {
         environment.pollEndpoints();
@@ -52,7 +55,7 @@
                 scheduler.mayStartWork(invoker, transport.nowMicros()));
     }
 
-    /** The work is sent: counted where the endpoint list alone would not allow it. */
+    /** Records that new work is sent; reports it if the endpoint list has expired. */
     void recordSent(WorkKind kind) {
         if (listExpiry.isExpired(transport.nowMicros())) {
             listener.sentOnExpiredList(kind);
--- a/src/main/java/waytrestle/controller/OpenRequest.java
+++ b/src/main/java/waytrestle/controller/OpenRequest.java
@@ -8,12 +8,13 @@
 import waytrestle.requests.SendHistory;
 
 /**
- * A request that the scheduler knows or that still has attempts outstanding.
+ * A request that was started, until it has ended for its clients and none of its attempts is
+ * outstanding. Holds its attempts and its send history.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class OpenRequest {
-    /** Attempts that most requests have, at most. */
+    /** Initial list capacity: few requests have more attempts. */
     private static final int USUAL_ATTEMPTS = 2;
 
     private final long id;
@@ -44,6 +45,7 @@
         return id;
     }
 
+    /** Returns the deadline on the monotonic clock. */
     long deadlineMicros() {
         return deadlineMicros;
     }
@@ -52,29 +54,33 @@
         return incoming;
     }
 
-    /** The client that started the request; others may have joined it since. */
+    /** Returns the client whose request was started; others may have joined the request since. */
     ResponseListener firstClient() {
         return firstClient;
     }
 
+    /** Returns what the request declares of its function, or else the configuration. */
     FunctionHints functionHints() {
         return functionHints;
     }
 
-    /** What has been sent of it, for the guard. */
+    /** Returns the attempts that the send guard has let pass. */
     SendHistory sendHistory() {
         return sendHistory;
     }
 
+    /** Returns all attempts in the order of their numbers, also those never sent. */
     List<Attempt> attempts() {
         return attempts;
     }
 
+    /** Adds an attempt, which counts as outstanding until {@link #attemptEnded}. */
     void addAttempt(Attempt attempt) {
         attempts.add(attempt);
         outstandingAttempts++;
     }
 
+    /** Records that one outstanding attempt has ended. */
     void attemptEnded() {
         outstandingAttempts--;
     }
@@ -83,7 +89,7 @@
         return outstandingAttempts != 0;
     }
 
-    /** Whether the request has ended for its clients. */
+    /** Returns whether the request has ended for its clients; attempts may still be outstanding. */
     boolean isCompleted() {
         return completed;
     }
@@ -92,7 +98,7 @@
         completed = true;
     }
 
-    /** Whether it ended by a response of its function: a result or the function's own error. */
+    /** Returns whether the request ended with a result or an error of the function itself. */
     boolean functionResponded() {
         return functionResponded;
     }
--- a/src/main/java/waytrestle/controller/OpenRequests.java
+++ b/src/main/java/waytrestle/controller/OpenRequests.java
@@ -5,8 +5,8 @@
 import waytrestle.responses.ClassifierEvent;
 
 /**
- * The requests in progress. A request is kept until it has ended for its clients and its last
- * attempt has ended.
+ * Holds the started requests by id. A request is held until it has ended for its clients and none
+ * of its attempts is outstanding.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -22,7 +22,7 @@
         requests.put(request.id(), request);
     }
 
-    /** The request of this id, or null where it is not open. */
+    /** Returns the request with the given id, or null where none is held. */
     OpenRequest find(long id) {
         return requests.get(id);
     }
@@ -31,7 +31,10 @@
         return requests.size();
     }
 
-    /** Notes that a request has ended for its clients; nothing where that is known already. */
+    /**
+     * Records that a request has ended for its clients and notifies the classifier. Does nothing
+     * for a request that is not held or was completed before.
+     */
     void complete(long id) {
         OpenRequest request = requests.get(id);
         if (request == null || request.isCompleted()) {
@@ -43,7 +46,7 @@
         removeIfFinished(request);
     }
 
-    /** Forgets a request that has ended for its clients and has no attempts outstanding. */
+    /** Removes a request if it has ended for its clients and has no attempts outstanding. */
     void removeIfFinished(OpenRequest request) {
         if (request.isCompleted() && !request.hasOutstandingAttempts()) {
             requests.remove(request.id());
--- a/src/main/java/waytrestle/controller/PendingRequestsCommandHandler.java
+++ b/src/main/java/waytrestle/controller/PendingRequestsCommandHandler.java
@@ -76,7 +76,7 @@
                         hints.workMicros()));
     }
 
-    /** What the request itself says of its function, else what the configuration says. */
+    /** Returns what the request itself declares of its function, or else the configuration. */
     private FunctionHints hintsOf(IncomingRequest incoming) {
         if (incoming.hints() != null) {
             return incoming.hints();
--- a/src/main/java/waytrestle/controller/RequestAccessLogger.java
+++ b/src/main/java/waytrestle/controller/RequestAccessLogger.java
@@ -10,16 +10,16 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Writes responses to the access log, each with the attempts of the request that its client
- * started.
+ * Writes one line to the access log for each response to a client. Attempts are listed for the
+ * client that started the request; clients that joined the request later have none.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class RequestAccessLogger {
-    /** The response of an attempt that is outstanding. */
+    /** Stands in place of a response for an attempt that is outstanding. */
     private static final String OUTSTANDING = "open";
 
-    /** An id or a tenant that the request does not have. */
+    /** Stands for an id or a tenant that the request does not have. */
     private static final String NONE = "";
 
     private final Transport transport;
@@ -38,7 +38,7 @@
         this.accessLog = accessLog;
     }
 
-    /** Writes the response to a client, if the access log takes requests of this id. */
+    /** Logs the response to a client, if the access log logs requests with the client's id. */
     void log(WaitingClient client, RequestOutcome outcome) {
         IncomingRequest incoming = client.incoming();
         String id = requestId(incoming);
@@ -76,14 +76,14 @@
         if (request == null) {
             return List.of();
         }
-        List<AccessLine.AttemptEntry> lines = new ArrayList<>(request.attempts().size());
+        List<AccessLine.AttemptEntry> entries = new ArrayList<>(request.attempts().size());
         for (Attempt attempt : request.attempts()) {
-            lines.add(attemptLine(attempt));
+            entries.add(attemptEntry(attempt));
         }
-        return lines;
+        return entries;
     }
 
-    private AccessLine.AttemptEntry attemptLine(Attempt attempt) {
+    private AccessLine.AttemptEntry attemptEntry(Attempt attempt) {
         Attempt.Plan plan = attempt.plan();
         if (attempt.hasEnded()) {
             return new AccessLine.AttemptEntry(
--- a/src/main/java/waytrestle/controller/ResponseGuard.java
+++ b/src/main/java/waytrestle/controller/ResponseGuard.java
@@ -8,8 +8,9 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * Holds each response against what was sent of its request: a rejection of a request that may have
- * run becomes a failure.
+ * Checks each rejection against the attempts that were really sent, before a client gets it. A
+ * rejection promises that a retry does no harm, so the rejection of a request that may have run
+ * becomes a failure.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -23,9 +24,9 @@
     }
 
     /**
-     * The outcome that the client may be given.
+     * Returns the given outcome if the client may get it, or the failure that replaces it.
      *
-     * @param request null where the client has started none
+     * @param request the request that the client has started; null where it has started none
      */
     RequestOutcome permittedOutcome(RequestOutcome outcome, OpenRequest request) {
         if (request == null || !(outcome instanceof Rejected rejected)) {
--- a/src/main/java/waytrestle/controller/SchedulerEventLoop.java
+++ b/src/main/java/waytrestle/controller/SchedulerEventLoop.java
@@ -10,21 +10,24 @@
 import waytrestle.scheduler.SchedulerEvent;
 
 /**
- * Feeds the scheduler one event at a time. The commands of an event are all carried out before the
- * next event is handled; events that arise meanwhile are queued.
+ * Delivers events to the scheduler one at a time. All commands that an event leads to are carried
+ * out before the next event is handled; events that arise meanwhile are queued.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class SchedulerEventLoop {
-    /** Events reported with a failed decision: enough to replay it. */
+    /** Number of latest events that are reported with a failed decision: enough to replay it. */
     private static final int RECENT_EVENTS = 64;
 
     /** Handles an exception that the scheduler threw. */
     interface FailureHandler {
         /**
-         * Called before the commands are carried out that the scheduler gave before it threw.
+         * Called after the scheduler threw, before the commands that it had given until then are
+         * carried out.
          *
-         * @param recentEvents the last events up to and including the failed one
+         * @param event the event that the scheduler was handling
+         * @param recentEvents the latest events, of which {@code event} is the last; valid only
+         *     during this call
          */
         void schedulerThrew(
                 SchedulerEvent event, Collection<SchedulerEvent> recentEvents, Throwable cause);
@@ -36,7 +39,7 @@
     private final ArrayDeque<SchedulerEvent> recentEvents = new ArrayDeque<>();
     private final List<SchedulerCommand> commands = new ArrayList<>();
     private Consumer<SchedulerCommand> commandHandler;
-    private Runnable endpointsListener = () -> {};
+    private Runnable endpointsHandledListener = () -> {};
     private FailureHandler failureHandler;
     private boolean running;
 
@@ -45,15 +48,18 @@
         this.scheduler = scheduler;
     }
 
-    /** Sets who carries out commands and handles failures; once, before the first event. */
+    /** Sets what carries out commands and handles failures. Called once, before the first event. */
     void setHandlers(Consumer<SchedulerCommand> commandHandler, FailureHandler failureHandler) {
         this.commandHandler = commandHandler;
         this.failureHandler = failureHandler;
     }
 
-    /** Sets who hears, before its commands, that the scheduler has handled an endpoint list. */
+    /**
+     * Sets what is called when the scheduler has handled an endpoint list, before the commands that
+     * the list leads to are carried out.
+     */
     void setEndpointsHandledListener(Runnable listener) {
-        endpointsListener = listener;
+        endpointsHandledListener = listener;
     }
 
     /** Queues an event for the next {@link #run}. */
@@ -61,7 +67,7 @@
         queue.add(event);
     }
 
-    /** Handles all queued events; does nothing while they are being handled already. */
+    /** Handles all queued events; does nothing when called while they are being handled. */
     void run() {
         if (running) {
             return;
@@ -85,7 +91,7 @@
             failureHandler.schedulerThrew(event, recentEvents, e);
         }
         if (event instanceof SchedulerEvent.EndpointsUpdated) {
-            endpointsListener.run();
+            endpointsHandledListener.run();
         }
         for (int i = 0; i < commands.size(); i++) {
             commandHandler.accept(commands.get(i));
--- a/src/main/java/waytrestle/controller/SchedulerFailureHandler.java
+++ b/src/main/java/waytrestle/controller/SchedulerFailureHandler.java
@@ -9,14 +9,14 @@
 import waytrestle.scheduler.SchedulerEvent.StreamStarted;
 
 /**
- * Handles a decision of the scheduler that threw: the request of the event fails, the scheduler is
- * notified that it is abandoned, and too many failures are reported to the environment. Commands
- * that the scheduler gave before it threw stay valid.
+ * Handles a failed decision, an event on which the scheduler threw: fails the request of the event,
+ * notifies the scheduler that the request is abandoned, and reports too many failures to the
+ * environment. Commands that the scheduler gave before it threw stay valid.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class SchedulerFailureHandler implements SchedulerEventLoop.FailureHandler {
-    /** Stands for the request of an event that belongs to none; request ids begin at 1. */
+    /** Stands for the request id of an event that belongs to no request; request ids begin at 1. */
     private static final long NO_REQUEST = 0;
 
     private final Transport transport;
--- a/src/main/java/waytrestle/controller/Transport.java
+++ b/src/main/java/waytrestle/controller/Transport.java
@@ -1,21 +1,22 @@
 package waytrestle.controller;
 
 /**
- * The clock, the timers and the invoker clients of a controller: sockets in service, models in a
- * simulation. Everything scheduled runs on the controller's event loop.
+ * The clock, the timers and the invoker clients of a controller: over sockets in service, simulated
+ * in a simulation. All methods are called, and all scheduled tasks run, on the controller's event
+ * loop.
  */
 public interface Transport {
-    /** The monotonic time in microseconds. */
+    /** Returns the monotonic time. */
     long nowMicros();
 
-    /** Runs a task after a delay. */
-    void schedule(long micros, Runnable task);
+    /** Runs a task after a delay, never within this call. */
+    void schedule(long delayMicros, Runnable task);
 
     /**
      * Creates the client of an invoker.
      *
-     * @param lost called when all connections to the invoker were closed by it, though used a
-     *     moment ago
+     * @param connectionsLostListener called when the invoker has closed all connections though they
+     *     were in use shortly before
      */
-    InvokerClient openClient(String invoker, Runnable lost);
+    InvokerClient openClient(String invoker, Runnable connectionsLostListener);
 }
--- a/src/main/java/waytrestle/controller/WaitingClients.java
+++ b/src/main/java/waytrestle/controller/WaitingClients.java
@@ -9,8 +9,8 @@
 import waytrestle.requests.RequestOutcome;
 
 /**
- * The clients that wait for a response: accepts their requests, sets their deadline timers and
- * passes them their responses.
+ * Holds the clients that wait for a response: accepts their requests, sets their deadline timers
+ * and passes them their responses.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -40,7 +40,11 @@
         return clients.size();
     }
 
-    /** Accepts a request of a client; its response may come within this call. */
+    /**
+     * Accepts a request of a client.
+     *
+     * @param client notified of the outcome, possibly before this method returns
+     */
     PendingResponse accept(IncomingRequest incoming, ResponseListener client) {
         lastClientId++;
         long clientId = lastClientId;
@@ -65,17 +69,17 @@
         dispatcher.dispatchToPendingRequests(new PendingRequests.ClientDisconnected(clientId));
     }
 
-    /** The client of this id, or null where it waits no more. */
+    /** Returns the client with the given id, or null where it no longer waits. */
     WaitingClient find(long clientId) {
         return clients.get(clientId);
     }
 
-    /** Notes the request that a client has started. */
+    /** Records the request that was started for a waiting client. */
     void recordStartedRequest(long clientId, OpenRequest request) {
         clients.put(clientId, clients.get(clientId).withStartedRequest(request));
     }
 
-    /** Passes a client its response; nothing where it has disconnected. */
+    /** Passes a client its response; does nothing where the client has disconnected. */
     void respond(PendingRequests.RespondToClient command) {
         WaitingClient client = clients.remove(command.clientId());
         if (client == null) {
@@ -92,7 +96,9 @@
         client.listener().completed(outcome);
     }
 
-    /** Tells the listener that a request came again. */
+    /**
+     * Reports to the listener that a client's request has the idempotency key of an earlier one.
+     */
     void reportRepeat(PendingRequests.ReportRepeat command) {
         WaitingClient client = clients.get(command.clientId());
         if (client != null) {
@@ -100,7 +106,9 @@
         }
     }
 
-    /** Lets the pending requests hear of a client's deadline, if it still waits then. */
+    /**
+     * Schedules a notification of the pending requests for a client that waits until its deadline.
+     */
     void setDeadlineTimer(PendingRequests.SetDeadlineTimer command) {
         transport.schedule(command.afterMicros(), () -> deadlineExpired(command.clientId()));
     }
--- a/src/main/java/waytrestle/controller/package-info.java
+++ b/src/main/java/waytrestle/controller/package-info.java
@@ -2,10 +2,9 @@
  * The controller: connects the protocol front ends, the pending requests, the response classifier,
  * the request scheduler and the invokers, and carries out what they decide.
  *
- * <p>{@link waytrestle.controller.Controller} is the entry point. It takes no decision of its own;
+ * <p>{@link waytrestle.controller.Controller} is the entry point and takes no decision of its own.
  * {@link waytrestle.controller.Transport} and {@link waytrestle.controller.ControllerEnvironment}
- * are what it needs from its surroundings, real or simulated. All of it is owned by the
- * controller's event loop: nothing here is thread-safe, and every call has to come from that one
- * thread.
+ * are the interfaces to its surroundings, which are real or simulated. No class of this package is
+ * thread-safe: every call has to come from the thread of the controller's event loop.
  */
 package waytrestle.controller;
