--- a/src/main/java/waytrestle/access/AccessLineJson.java
+++ b/src/main/java/waytrestle/access/AccessLineJson.java
@@ -7,15 +7,16 @@
 import java.io.UncheckedIOException;
 import java.time.Instant;
 
-/** The format of the access log: a JSON object and a line feed for each request. */
+/** Encodes lines of the access log, each as a JSON object and a line feed. */
 final class AccessLineJson {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    /** An initial size alone: the buffer grows with the line. */
+    /** Holds a line of usual length; the buffer grows with longer lines. */
     private static final int INITIAL_BUFFER_BYTES = 256;
 
     private AccessLineJson() {}
 
+    /** Returns the line in UTF-8, including the line feed. */
     static byte[] encode(AccessLine line) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = FACTORY.createGenerator(out)) {
--- a/src/main/java/waytrestle/access/AccessLog.java
+++ b/src/main/java/waytrestle/access/AccessLog.java
@@ -1,11 +1,13 @@
 package waytrestle.access;
 
 /**
- * Where ended requests are logged. It is asked first, so that a request that is not logged costs
- * nothing. Used by the controller's event loop.
+ * Logs how requests ended. The caller asks {@link #shouldLog} first, so that no line is composed
+ * for a request that is not logged.
+ *
+ * <p>Used by the controller's event loop.
  */
 public interface AccessLog {
-    /** Logs nothing. */
+    /** An access log that logs nothing. */
     AccessLog OFF =
             new AccessLog() {
                 @Override
@@ -17,9 +19,9 @@
                 public void write(AccessLine line) {}
             };
 
-    /** Whether a request of this id is logged; the id is empty where the request has none. */
+    /** Returns whether a request with the given id is logged; the id is empty where it has none. */
     boolean shouldLog(String id);
 
-    /** Logs an ended request, or drops it where the log cannot keep up. */
+    /** Logs an ended request, or drops the line if the log cannot keep up. */
     void write(AccessLine line);
 }
--- a/src/main/java/waytrestle/access/FileAccessLog.java
+++ b/src/main/java/waytrestle/access/FileAccessLog.java
@@ -14,25 +14,25 @@
 import java.util.function.Consumer;
 
 /**
- * Appends lines to a file from a thread of its own. The caller never waits for the disk: lines that
- * the bounded queue has no capacity for are dropped and counted. The file can be reopened by its
- * name, for log rotation.
+ * Appends lines to a file from its own writer thread. The caller never waits for the disk: lines
+ * are queued, and lines that do not fit into the bounded queue are dropped and counted. The file
+ * can be reopened by its name, for log rotation.
  *
- * <p>{@link #shouldLog} and {@link #write} are used by the controller's event loop alone; the
+ * <p>{@link #shouldLog} and {@link #write} are used only by the controller's event loop; the
  * counters, {@link #reopen} and {@link #close} may be used from any thread.
  */
 public final class FileAccessLog implements AccessLog, AutoCloseable {
     /**
      * Settings of the access log.
      *
-     * @param file name of the file; empty for no log
-     * @param sampledFraction fraction of requests that is logged; below 1 they are chosen by their
-     *     id, alike at every controller
-     * @param queueLines lines that may wait for the disk
+     * @param file name of the file; empty for no access log
+     * @param sampledFraction fraction of requests that is logged, from 0 to 1; every controller
+     *     chooses requests with an id by the id and so logs the same ones
+     * @param queueLines number of lines that may wait for the writer thread
      */
     public record Settings(String file, double sampledFraction, int queueLines) {}
 
-    /** What the writer thread is asked to do. */
+    /** A command to the writer thread. */
     private sealed interface Command {}
 
     private record Append(byte[] line) implements Command {}
@@ -41,13 +41,16 @@
 
     private record Close() implements Command {}
 
-    /** Without a line for this long, what is buffered is written: readers need not wait longer. */
+    /** Time without a new line after which buffered lines are written, so that readers see them. */
     private static final long IDLE_FLUSH_MILLIS = 500;
 
-    /** Few writes to the disk even with many short lines. */
+    /** Buffer that collects many short lines into one write to the disk. */
     private static final int FILE_BUFFER_BYTES = 1 << 16;
 
-    /** A full queue on a disk that hangs must not hold up the shutdown. */
+    /**
+     * Longest wait at a shutdown for room in the queue: a full queue before a disk that hangs must
+     * not hold up the shutdown.
+     */
     private static final long CLOSE_ENQUEUE_SECONDS = 1;
 
     /** Longest wait at a shutdown for queued lines to be written. */
@@ -62,14 +65,15 @@
     private final Consumer<IOException> failureListener;
     private final Thread writer;
 
-    /** Used by the writer thread alone, once that has started. */
+    /** The open file; used only by the writer thread once that has started. */
     private OutputStream out;
 
     /**
      * Opens the file and starts the writer thread.
      *
-     * @param seed of the choice among requests without an id
-     * @param failureListener notified of failed writes, on the writer thread
+     * @param seed seed of the random choice among requests without an id
+     * @param failureListener notified of each failed write, on the writer thread
+     * @throws IOException if the file cannot be opened
      */
     public FileAccessLog(Settings settings, long seed, Consumer<IOException> failureListener)
             throws IOException {
@@ -91,8 +95,9 @@
     }
 
     /**
-     * Chooses by the id where there is one: the parts of one request at several controllers are
-     * then all logged or none.
+     * Returns whether a request with the given id is logged. The choice depends on the id alone
+     * where there is one, so that the lines of one request are logged at all controllers or at
+     * none; it is random for a request without an id.
      */
     @Override
     public boolean shouldLog(String id) {
@@ -103,11 +108,11 @@
         return position < sampledFraction;
     }
 
-    /** Maps an id to a number in [0, 1), evenly over many ids. */
+    /** Maps an id to a number in [0, 1); the numbers of many ids are evenly distributed. */
     private static double samplePosition(String id) {
-        long mixed = id.hashCode() * 0x9E3779B97F4A7C15L;
-        mixed = (mixed ^ mixed >>> 32) * 0xD6E8FEB86659FD93L;
-        long upper53Bits = mixed >>> 11;
+        long hash = id.hashCode() * 0x9E3779B97F4A7C15L;
+        hash = (hash ^ hash >>> 32) * 0xD6E8FEB86659FD93L;
+        long upper53Bits = hash >>> 11;
         return upper53Bits * 0x1.0p-53;
     }
 
@@ -118,17 +123,25 @@
         }
     }
 
-    /** Lines handed to the file since the start. */
+    /**
+     * Returns the number of lines handed to the file since the start; some may still be buffered.
+     */
     public long writtenLines() {
         return written.get();
     }
 
-    /** Lines lost since the start because the queue was full or the disk failed. */
+    /**
+     * Returns the number of lines dropped since the start because the queue was full, plus the
+     * number of failed writes. A failed write counts once, however many buffered lines it loses.
+     */
     public long droppedLines() {
         return dropped.get();
     }
 
-    /** Closes the file after the lines queued so far and opens it by its name again. */
+    /**
+     * Has the writer thread close the file after the lines queued so far and open it again by its
+     * name. Has no effect if the queue is full.
+     */
     public void reopen() {
         queue.offer(new Reopen());
     }
@@ -138,7 +151,7 @@
         while (running) {
             try {
                 running = executeNext();
-            } catch (IOException e) { // for instance a full disk: lines are lost, requests go on
+            } catch (IOException e) { // e.g. a full disk: lines are lost, requests go on
                 dropped.incrementAndGet();
                 failureListener.accept(e);
             } catch (InterruptedException e) {
@@ -147,7 +160,7 @@
         }
     }
 
-    /** Returns whether the writer goes on. */
+    /** Executes the next command; returns false once the file is closed for good. */
     private boolean executeNext() throws IOException, InterruptedException {
         Command command = queue.poll(IDLE_FLUSH_MILLIS, TimeUnit.MILLISECONDS);
         if (command == null) {
@@ -165,7 +178,10 @@
         return true;
     }
 
-    /** Writes what is queued and closes the file. */
+    /**
+     * Writes the queued lines and closes the file; gives up waiting for the writer thread after
+     * {@link #CLOSE_ENQUEUE_SECONDS} and {@link #CLOSE_JOIN_MILLIS}.
+     */
     @Override
     public void close() {
         try {
--- a/src/main/java/waytrestle/access/package-info.java
+++ b/src/main/java/waytrestle/access/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The access log: one line for each request that has ended, as JSON.
+ * The access log: one line in JSON for each response to a client.
  *
  * <p>{@link waytrestle.access.AccessLog} is called by the controller's event loop; {@link
- * waytrestle.access.FileAccessLog} hands the lines to a thread of its own, which alone touches the
- * file.
+ * waytrestle.access.FileAccessLog} passes the lines to its writer thread, the only one that uses
+ * the file.
  */
 package waytrestle.access;
--- a/src/test/java/waytrestle/access/AccessLineJsonTest.java
+++ b/src/test/java/waytrestle/access/AccessLineJsonTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void everyFieldIsWrittenInItsOrder() {
+    void encodesAllFieldsInFixedOrderAndOmitsMissingEstimate() {
         AccessLine.AttemptEntry failed =
                 new AccessLine.AttemptEntry("invoker-1", "503", 1_200, 30_000);
         AccessLine.AttemptEntry inFlight =
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void emptyFieldsAreLeftOut() {
+    void omitsIdTenantAndReasonWhenEmpty() {
         AccessLine line =
                 new AccessLine(0, "", "", "interactive", "resize", List.of(), "served", "", 7);
         assertEquals(
--- a/src/test/java/waytrestle/access/FileAccessLogTest.java
+++ b/src/test/java/waytrestle/access/FileAccessLogTest.java
@@ -12,27 +12,27 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class FileAccessLogTest {
-    private static final int IDS = 10_000;
+    private static final int REQUESTS = 10_000;
 
     @TempDir private Path directory;
     private final List<IOException> failures = new ArrayList<>();
 
-    private FileAccessLog open(Path file, double sampledFraction) throws IOException {
+    private FileAccessLog openLog(Path file, double sampledFraction) throws IOException {
         FileAccessLog.Settings settings =
                 new FileAccessLog.Settings(file.toString(), sampledFraction, 64);
         return new FileAccessLog(settings, 1, failures::add);
     }
 
-    private static AccessLine lineOf(String function) {
+    private static AccessLine lineForFunction(String function) {
         return new AccessLine(0, "", "", "interactive", function, List.of(), "served", "", 7);
     }
 
     @Test
-    void closingWritesWhatIsQueued() throws IOException {
+    void closeWritesAllQueuedLines() throws IOException {
         Path file = directory.resolve("access.jsonl");
-        FileAccessLog log = open(file, 1);
+        FileAccessLog log = openLog(file, 1);
         for (int i = 0; i < 20; i++) {
-            log.write(lineOf("function-" + i));
+            log.write(lineForFunction("function-" + i));
         }
         log.close();
         List<String> lines = Files.readAllLines(file);
@@ -45,11 +45,11 @@
     }
 
     @Test
-    void anExistingFileIsAppendedTo() throws IOException {
+    void existingFileIsAppendedTo() throws IOException {
         Path file = directory.resolve("access.jsonl");
         Files.writeString(file, "earlier\n");
-        FileAccessLog log = open(file, 1);
-        log.write(lineOf("resize"));
+        FileAccessLog log = openLog(file, 1);
+        log.write(lineForFunction("resize"));
         log.close();
         List<String> lines = Files.readAllLines(file);
         assertEquals(2, lines.size());
@@ -57,14 +57,14 @@
     }
 
     @Test
-    void reopeningWritesFurtherLinesToANewFileOfTheName() throws IOException {
+    void linesAfterReopenGoToNewFileWhenOldOneWasMoved() throws IOException {
         Path file = directory.resolve("access.jsonl");
         Path rotated = directory.resolve("access.1");
-        FileAccessLog log = open(file, 1);
-        log.write(lineOf("before"));
+        FileAccessLog log = openLog(file, 1);
+        log.write(lineForFunction("before"));
         Files.move(file, rotated);
         log.reopen();
-        log.write(lineOf("after"));
+        log.write(lineForFunction("after"));
         log.close();
         assertTrue(Files.readString(rotated).contains("\"before\""));
         assertTrue(Files.readString(file).contains("\"after\""));
@@ -72,37 +72,40 @@
     }
 
     @Test
-    void sampledRequestsAreChosenByTheirIdAtTheConfiguredRate() throws IOException {
-        try (FileAccessLog log = open(directory.resolve("a"), 0.25);
-                FileAccessLog other = open(directory.resolve("b"), 0.25)) {
+    void twoLogsSampleTheSameIdsAtTheConfiguredFraction() throws IOException {
+        try (FileAccessLog log = openLog(directory.resolve("a"), 0.25);
+                FileAccessLog otherLog = openLog(directory.resolve("b"), 0.25)) {
             int sampled = 0;
-            for (int i = 0; i < IDS; i++) {
+            for (int i = 0; i < REQUESTS; i++) {
                 String id = "request-" + i;
-                assertEquals(log.shouldLog(id), other.shouldLog(id), id);
+                assertEquals(
+                        log.shouldLog(id),
+                        otherLog.shouldLog(id),
+                        "both logs must choose alike: " + id);
                 sampled += log.shouldLog(id) ? 1 : 0;
             }
             assertTrue(
-                    sampled > 0.2 * IDS && sampled < 0.3 * IDS,
-                    "sampled " + sampled + " of " + IDS);
+                    sampled > 0.2 * REQUESTS && sampled < 0.3 * REQUESTS,
+                    "sampled " + sampled + " of " + REQUESTS);
         }
     }
 
     @Test
-    void requestsWithoutAnIdAreSampledAtRandom() throws IOException {
-        try (FileAccessLog log = open(directory.resolve("a"), 0.25)) {
+    void requestsWithoutIdAreSampledAtTheConfiguredFraction() throws IOException {
+        try (FileAccessLog log = openLog(directory.resolve("a"), 0.25)) {
             int sampled = 0;
-            for (int i = 0; i < IDS; i++) {
+            for (int i = 0; i < REQUESTS; i++) {
                 sampled += log.shouldLog("") ? 1 : 0;
             }
             assertTrue(
-                    sampled > 0.2 * IDS && sampled < 0.3 * IDS,
-                    "sampled " + sampled + " of " + IDS);
+                    sampled > 0.2 * REQUESTS && sampled < 0.3 * REQUESTS,
+                    "sampled " + sampled + " of " + REQUESTS);
         }
     }
 
     @Test
-    void everyRequestIsLoggedWithoutSampling() throws IOException {
-        try (FileAccessLog log = open(directory.resolve("a"), 1)) {
+    void everyRequestIsLoggedAtFractionOne() throws IOException {
+        try (FileAccessLog log = openLog(directory.resolve("a"), 1)) {
             assertTrue(log.shouldLog(""));
             assertTrue(log.shouldLog("request-1"));
         }
