--- a/src/main/java/waytrestle/access/FileAccessLog.java
+++ b/src/main/java/waytrestle/access/FileAccessLog.java
@@ -26,8 +26,8 @@
      * Settings of the access log.
      *
      * @param file name of the file; empty for no access log
-     * @param sampledFraction fraction of requests that is logged, from 0 to 1; every controller
-     *     chooses requests with an id by the id and so logs the same ones
+     * @param sampledFraction fraction of requests that is logged, from 0 to 1; below 1, requests
+     *     with an id are chosen by the id, and so alike at every controller
      * @param queueLines number of lines that may wait for the writer thread
      */
     public record Settings(String file, double sampledFraction, int queueLines) {}
--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -17,13 +17,14 @@
     /**
      * Called when a request has ended for one of its clients.
      *
-     * @param end how it ended, as a label of metrics: served, refused, failed or left
-     * @param reason label of the reason; empty without one
+     * @param outcomeLabel how the request ended, as a label of metrics: served, refused, failed or
+     *     left
+     * @param reasonLabel label of the reason; empty without one
      * @param elapsedMicros time since the client's request was accepted; 0 where the client
      *     disconnected
      */
     default void requestCompleted(
-            IncomingRequest request, String end, String reason, long elapsedMicros) {}
+            IncomingRequest request, String outcomeLabel, String reasonLabel, long elapsedMicros) {}
 
     /**
      * Called when an attempt has ended, also for one that was never sent.
--- a/src/main/java/waytrestle/controller/EndpointListExpiry.java
+++ b/src/main/java/waytrestle/controller/EndpointListExpiry.java
@@ -20,8 +20,8 @@
      * Sets when every change that service discovery holds counts as received; {@link
      * Long#MAX_VALUE}, the initial value, where there is no such time.
      */
-    void setReceivedAt(long receivedAtMicros) {
-        this.receivedAtMicros = receivedAtMicros;
+    void setReceivedAt(long listReceivedAtMicros) {
+        receivedAtMicros = listReceivedAtMicros;
     }
 
     /** Returns whether the endpoint list has been outdated for longer than the drain grace. */
--- a/src/main/java/waytrestle/metrics/Metrics.java
+++ b/src/main/java/waytrestle/metrics/Metrics.java
@@ -95,7 +95,10 @@
         return counters.computeIfAbsent(new Series(name, labels), series -> new Counter());
     }
 
-    /** Registers a gauge, whose value is read on rendering; replaces one of the same series. */
+    /**
+     * Registers a gauge, whose value is read on rendering; replaces a gauge with equal name and
+     * labels.
+     */
     public void registerGauge(String name, String labels, DoubleSupplier value) {
         gauges.put(new Series(name, labels), value);
     }
