--- a/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
+++ b/src/main/java/waytrestle/controller/AttemptCompletionHandler.java
@@ -90,7 +90,7 @@
         dispatcher.notifyPendingRequests(
                 new PendingRequests.AttemptWaiting(request.id(), attempt.number()));
         request.firstClient().checkConnected();
-        SendGuard.Refusal refusal = sendGuard.refusal(request.sendHistory(), intent(attempt));
+        SendGuard.Refusal refusal = sendGuard.checkSend(request.sendHistory(), intent(attempt));
         if (refusal == null) {
             readiness.recordSent(ControllerListener.WorkKind.ATTEMPT);
             dispatcher.notifyPendingRequests(
@@ -140,7 +140,7 @@
         Classification classification = command.classification();
         request.attemptEnded();
         attempt.setCode(classification.code());
-        request.sendHistory().ended(attempt.number(), classification.code());
+        request.sendHistory().recordEnd(attempt.number(), classification.code());
         recordWarmResponse(attempt, command.loadReport().start());
         listener.requestAttemptCompleted(
                 request.incoming(), attempt.number(), attempt.invoker(), attempt.code());
--- a/src/main/java/waytrestle/controller/AttemptSender.java
+++ b/src/main/java/waytrestle/controller/AttemptSender.java
@@ -138,8 +138,8 @@
      */
     private String forwardedId(OpenRequest request) {
         IncomingRequest incoming = request.incoming();
-        if (incoming.forwardedId() != null) {
-            return incoming.forwardedId();
+        if (incoming.forwardedRequestId() != null) {
+            return incoming.forwardedRequestId();
         }
         if (incoming.idempotencyKey() != null) {
             return incoming.idempotencyKey().key();
--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -110,7 +110,7 @@
     default void invokerReadmitted(String invoker) {}
 
     /** Called when an invoker lacks or never reports a capability that the settings declare. */
-    default void capabilityWarning(ClassifierCommand.WarnOfCapability warning) {}
+    default void capabilityWarning(ClassifierCommand.WarnOfMissingCapability warning) {}
 
     /** Called when an invoker is no longer listed; nothing about it needs to be kept. */
     default void invokerRemoved(String invoker) {}
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -110,8 +110,7 @@
             }
             InvokerReadiness.Readiness current =
                     readiness.check(command.invoker(), invokerWasReady);
-            if (sendGuard.preloadRefusal(current.stillReady(), current.recentlyConfirmed())
-                    != null) {
+            if (sendGuard.checkPreload(current.stillReady(), current.recentlyConfirmed()) != null) {
                 return ExchangeResult.Kind.NO_CAPACITY;
             }
             readiness.recordSent(ControllerListener.WorkKind.PRELOAD);
@@ -127,7 +126,7 @@
         @Override
         public void completed(ExchangeResult result, int instances, LoadMetrics metrics) {
             long elapsedMicros = transport.nowMicros() - sentAtMicros;
-            ResponseCode code = classifier.codeOfPreload(result);
+            ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
             listener.preloadCompleted(command.invoker(), command.function(), code);
             if (loadsInstances(command)) {
                 notifyClassifier(result, metrics, elapsedMicros);
@@ -171,7 +170,7 @@
         client.checkHealth(
                 settings.limits().connectTimeoutMicros(),
                 (result, instances, metrics) -> {
-                    ResponseCode code = classifier.codeOfPreload(result);
+                    ResponseCode code = classifier.codeOfPreloadOrHealthCheck(result);
                     listener.healthCheckCompleted(command.invoker(), code);
                     dispatcher.dispatchToScheduler(
                             new HealthCheckCompleted(
--- a/src/main/java/waytrestle/controller/WaitingClients.java
+++ b/src/main/java/waytrestle/controller/WaitingClients.java
@@ -54,7 +54,7 @@
                         clientId,
                         incoming.requestClass(),
                         incoming.tenant(),
-                        incoming.retryMark(),
+                        incoming.retryFingerprint(),
                         incoming.idempotencyKey(),
                         incoming.timeLeftMicros()));
         return () -> disconnected(clientId, incoming);
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -168,7 +168,7 @@
                     new WebhookFront(
                             config.endpoints(),
                             config.module().classes(),
-                            config.ids().toleranceSeconds(),
+                            config.ids().signatureToleranceSeconds(),
                             config.transitMicros(),
                             known,
                             controller);
@@ -188,7 +188,7 @@
             server = new HttpServer(loop, config.listen(), config.http(), door, router);
             metrics.registerGauge("waytrestle_body_bytes", "", door::bytes);
             metrics.registerGauge("waytrestle_bodies_waiting", "", door::waiting);
-            metrics.registerGauge("waytrestle_concurrency_limit", "", overload::limit);
+            metrics.registerGauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
             admin = new HttpServer(loop, config.admin(), config.http(), 64, this::page);
             metrics.setHelp("waytrestle_body_bytes", "Bytes of request bodies held at present.");
             metrics.setHelp(
