--- a/src/main/java/waytrestle/stats/DecayingAverage.java
+++ b/src/main/java/waytrestle/stats/DecayingAverage.java
@@ -1,42 +1,48 @@
 package waytrestle.stats;
 
 /**
- * A count together with its time average, in which the past loses weight exponentially.
+ * A count and its time average, in which earlier counts lose weight exponentially. Times are in
+ * microseconds.
  *
  * <p>Not thread-safe.
  */
 public final class DecayingAverage {
-    private final double spanMicros;
+    private final double timeConstantMicros;
     private int count;
-    private double averageBefore;
+    private double averageAtUpdate;
     private boolean started;
-    private long updatedAt;
+    private long updatedAtMicros;
 
-    /** An average without a count yet; the past falls to 1/e of its weight within the span. */
-    public DecayingAverage(double spanMicros) {
-        this.spanMicros = spanMicros;
+    /**
+     * Creates an average without a count; the weight of earlier counts falls to 1/e within the time
+     * constant.
+     */
+    public DecayingAverage(double timeConstantMicros) {
+        this.timeConstantMicros = timeConstantMicros;
     }
 
-    /** The count that was set last. */
+    /** Returns the count that was set last; 0 if none was set. */
     public int count() {
         return count;
     }
 
-    /** The average at a time, which must not be before the last change. */
+    /** Returns the average at the given time, which must not be before the last change. */
     public double average(long nowMicros) {
-        return count + (averageBefore - count) * Math.exp((updatedAt - nowMicros) / spanMicros);
+        return count
+                + (averageAtUpdate - count)
+                        * Math.exp((updatedAtMicros - nowMicros) / timeConstantMicros);
     }
 
-    /** The larger of count and average. */
+    /** Returns the larger of the count and the average at the given time. */
     public double maxOfCountAndAverage(long nowMicros) {
         return Math.max(count, average(nowMicros));
     }
 
-    /** Changes the count; the first one is also the average. */
+    /** Sets the count; the first one is also the average. */
     public void setCount(int newCount, long nowMicros) {
-        averageBefore = started ? average(nowMicros) : newCount;
+        averageAtUpdate = started ? average(nowMicros) : newCount;
         started = true;
         count = newCount;
-        updatedAt = nowMicros;
+        updatedAtMicros = nowMicros;
     }
 }
--- a/src/main/java/waytrestle/stats/DecayingSum.java
+++ b/src/main/java/waytrestle/stats/DecayingSum.java
@@ -1,34 +1,36 @@
 package waytrestle.stats;
 
 /**
- * A sum whose terms lose weight exponentially with time.
+ * A sum whose terms lose weight exponentially with time. Times are in microseconds.
  *
  * <p>Not thread-safe.
  */
 public final class DecayingSum {
-    private final double spanMicros;
+    private final double timeConstantMicros;
     private double value;
-    private long updatedAt;
+    private long updatedAtMicros;
 
-    /** A sum of zero, whose terms fall to 1/e of their weight within the span. */
-    public DecayingSum(double spanMicros) {
-        this.spanMicros = spanMicros;
+    /** Creates a sum of zero; the weight of its terms falls to 1/e within the time constant. */
+    public DecayingSum(double timeConstantMicros) {
+        this.timeConstantMicros = timeConstantMicros;
     }
 
-    /** The sum at a time, which must not be before the last change. */
+    /** Returns the sum at the given time, which must not be before the last change. */
     public double value(long nowMicros) {
-        return value == 0 ? 0 : value * Math.exp((updatedAt - nowMicros) / spanMicros);
+        return value == 0
+                ? 0
+                : value * Math.exp((updatedAtMicros - nowMicros) / timeConstantMicros);
     }
 
-    /** Adds a term. */
+    /** Adds a term to the sum. */
     public void add(double term, long nowMicros) {
         value = value(nowMicros) + term;
-        updatedAt = nowMicros;
+        updatedAtMicros = nowMicros;
     }
 
     /** Replaces the sum. */
     public void set(double sum, long nowMicros) {
         value = sum;
-        updatedAt = nowMicros;
+        updatedAtMicros = nowMicros;
     }
 }
--- a/src/main/java/waytrestle/stats/package-info.java
+++ b/src/main/java/waytrestle/stats/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sums and averages over time, shared by everything that learns from traffic. Free of I/O and
- * clocks: times are passed in. Not thread-safe.
+ * Sums and averages that decay over time, for classes that learn from traffic. They do no I/O and
+ * read no clock: callers pass the time in microseconds. They are not thread-safe.
  */
 package waytrestle.stats;
