--- a/src/main/java/waytrestle/responses/AttemptBudget.java
+++ b/src/main/java/waytrestle/responses/AttemptBudget.java
@@ -1,26 +1,33 @@
 package waytrestle.responses;
 
 /**
- * Bounds the attempts over all requests: every request adds a stated number of attempts to the
- * budget, every attempt takes one out, and a first attempt always goes.
+ * Bounds the number of attempts over all requests: each request adds a configured number of
+ * attempts to the budget, each attempt that is sent takes one out, and the first attempt of a
+ * request is sent even if the budget is empty.
  *
- * <p>Guards against amplification by whatever makes attempts end, including not-loaded responses,
- * which no retry budget counts: a fleet with a fault would otherwise be asked several times for
- * what it cannot do once.
+ * <p>Guards against retry amplification whatever the outcome of the attempts, including not-loaded
+ * responses, which retry budgets do not count. Without the bound, a faulty fleet would receive a
+ * request several times that it cannot serve once.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class AttemptBudget {
-    /** Unused attempts of so long a time are kept, so that a short fault is ridden out. */
+    /**
+     * Seconds of earned retries that the budget keeps unused in addition to {@link
+     * #MIN_RESERVE_ATTEMPTS}, so that retries remain possible during a short fault.
+     */
     private static final double RESERVE_SECONDS = 5;
 
-    /** Attempts kept at the least: with little traffic retries must be possible too. */
+    /**
+     * Unused attempts that the budget keeps at any request rate, so that retries are possible with
+     * little traffic too.
+     */
     private static final double MIN_RESERVE_ATTEMPTS = 20;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final double attemptsPerRequest;
-    private double balance = MIN_RESERVE_ATTEMPTS;
+    private double availableAttempts = MIN_RESERVE_ATTEMPTS;
     private double retriesEarnedPerSecond;
     private long updatedAtMicros;
 
@@ -28,21 +35,25 @@
         this.attemptsPerRequest = attemptsPerRequest;
     }
 
-    /** Adds what one new request contributes. */
+    /** Adds the attempts that one new request contributes. */
     void addRequest(long nowMicros) {
         double decay = Math.exp((updatedAtMicros - nowMicros) / MICROS_PER_SECOND);
         retriesEarnedPerSecond = retriesEarnedPerSecond * decay + attemptsPerRequest - 1;
         updatedAtMicros = nowMicros;
-        double maxBalance = MIN_RESERVE_ATTEMPTS + RESERVE_SECONDS * retriesEarnedPerSecond;
-        balance = Math.min(balance + attemptsPerRequest, maxBalance);
+        double maxAvailableAttempts =
+                MIN_RESERVE_ATTEMPTS + RESERVE_SECONDS * retriesEarnedPerSecond;
+        availableAttempts = Math.min(availableAttempts + attemptsPerRequest, maxAvailableAttempts);
     }
 
-    /** Takes an attempt from the budget; false if it must not be sent. */
+    /**
+     * Takes one attempt from the budget and returns whether the attempt may be sent: a first
+     * attempt always may, a retry only if the budget holds an attempt.
+     */
     boolean tryTake(boolean firstAttempt) {
-        if (!firstAttempt && balance < 1) {
+        if (!firstAttempt && availableAttempts < 1) {
             return false;
         }
-        balance = Math.max(0, balance - 1);
+        availableAttempts = Math.max(0, availableAttempts - 1);
         return true;
     }
 }
--- a/src/main/java/waytrestle/responses/AttemptClassifier.java
+++ b/src/main/java/waytrestle/responses/AttemptClassifier.java
@@ -4,30 +4,36 @@
 import waytrestle.scheduler.SchedulerSettings.Preloading;
 
 /**
- * Decides what the end of an attempt means for its request: a rejection ends it at once, a failure
- * when several invokers agree, and a function that is not loaded when several do not know it.
+ * Decides whether the end of an attempt ends its request: a served response or a rejection by an
+ * invoker that is no outlier does at once, a failure does after enough failures with the same
+ * result, and a not-loaded response does if enough invokers do not know the function.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class AttemptClassifier {
-    /** Invokers that must not know a function before it counts as known nowhere. */
+    /**
+     * Number of invokers that must not know a function, if as many are ready, before it counts as
+     * not found.
+     */
     private static final int MIN_INVOKERS_WITHOUT_FUNCTION = 2;
 
     private final InvokerTable invokers;
-    private final int failedAttempts;
+    private final int matchingFailuresToEndRequest;
     private final boolean reportsNotLoaded;
-    private final boolean loadsOnRequest;
+    private final boolean preloadsAfterNotLoaded;
 
     /**
-     * A classification for requests at these invokers.
+     * Creates a classifier for requests at the given invokers.
      *
-     * @param failedAttempts failures alike that end a request
+     * @param matchingFailuresToEndRequest failures of a request with the same result that end the
+     *     request
      */
-    AttemptClassifier(InvokerTable invokers, int failedAttempts, Preloading preloading) {
+    AttemptClassifier(
+            InvokerTable invokers, int matchingFailuresToEndRequest, Preloading preloading) {
         this.invokers = invokers;
-        this.failedAttempts = failedAttempts;
+        this.matchingFailuresToEndRequest = matchingFailuresToEndRequest;
         this.reportsNotLoaded = preloading.reportsNotLoaded();
-        this.loadsOnRequest = preloading.reportsNotLoaded() && preloading.acceptsPreloads();
+        this.preloadsAfterNotLoaded = preloading.reportsNotLoaded() && preloading.acceptsPreloads();
     }
 
     /** Classifies the end of an attempt of an open request. */
@@ -50,31 +56,32 @@
     }
 
     /**
-     * A not-loaded response says nothing of the function, unless no preload can mend it or the
-     * function was loaded there before.
+     * Classifies a not-loaded response. It shows that the invoker does not know the function only
+     * if no preload can load the function, or if the function was loaded at the invoker before.
      */
     private Classification classifyNotLoaded(
             RequestRecord request, AttemptOutcome outcome, long nowMicros) {
         FunctionRecord function = outcome.function();
         String invoker = outcome.invoker();
-        if (!loadsOnRequest || function.history().lastServedAtMicros(invoker) != 0) {
+        if (!preloadsAfterNotLoaded || function.history().lastServedAtMicros(invoker) != 0) {
             request.addInvokerWithoutFunction(invoker);
         }
-        boolean knownNowhere =
+        boolean functionNotFound =
                 !function.history().servedRecently(nowMicros)
-                        && request.invokersWithoutFunction() >= neededInvokersWithoutFunction();
-        if (knownNowhere) {
+                        && request.invokersWithoutFunction() >= requiredInvokersWithoutFunction();
+        if (functionNotFound) {
             function.circuit().addFailingInvoker(invoker);
             request.countAgainstFunction();
         }
-        return new Classification(ResponseCode.NOT_LOADED, knownNowhere, false, knownNowhere);
+        return new Classification(
+                ResponseCode.NOT_LOADED, functionNotFound, false, functionNotFound);
     }
 
-    private int neededInvokersWithoutFunction() {
+    private int requiredInvokersWithoutFunction() {
         int ready = invokers.readyCount();
-        boolean allMustAgree = reportsNotLoaded && !loadsOnRequest;
-        int needed = allMustAgree ? ready : Math.min(MIN_INVOKERS_WITHOUT_FUNCTION, ready);
-        return Math.max(1, needed);
+        boolean allMustAgree = reportsNotLoaded && !preloadsAfterNotLoaded;
+        int required = allMustAgree ? ready : Math.min(MIN_INVOKERS_WITHOUT_FUNCTION, ready);
+        return Math.max(1, required);
     }
 
     private Classification classifyFailure(RequestRecord request, AttemptOutcome outcome) {
@@ -84,8 +91,8 @@
             request.addNonOutlierFailure(result);
         }
         boolean endsRequest =
-                request.nonOutlierFailuresWithResult(result) >= failedAttempts
-                        || request.failures() > failedAttempts;
+                request.nonOutlierFailuresWithResult(result) >= matchingFailuresToEndRequest
+                        || request.failures() > matchingFailuresToEndRequest;
         boolean rejected = outcome.kind() == ResponseKind.REJECTED;
         ResponseCode code = rejected ? ResponseCode.ERROR : outcome.kind().code();
         boolean functionError = rejected || outcome.kind() == ResponseKind.ERROR;
--- a/src/main/java/waytrestle/responses/AttemptOutcome.java
+++ b/src/main/java/waytrestle/responses/AttemptOutcome.java
@@ -1,9 +1,9 @@
 package waytrestle.responses;
 
 /**
- * How an attempt ended, and who took part.
+ * The outcome of an attempt, with the function and the invoker that took part.
  *
- * @param fromOutlier whether the invoker is suspected of a fault, so that its failures are no
+ * @param fromOutlier whether the invoker is an outlier or ejected, so that its failures are no
  *     evidence against the function
  */
 record AttemptOutcome(
--- a/src/main/java/waytrestle/responses/CapabilityEvidence.java
+++ b/src/main/java/waytrestle/responses/CapabilityEvidence.java
@@ -1,21 +1,27 @@
 package waytrestle.responses;
 
 /**
- * What responses have shown of one declared capability of one invoker.
+ * Counts how often responses of one invoker confirmed or refuted one declared capability, and
+ * decides from these responses whether the reports of the invoker are trusted.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class CapabilityEvidence {
-    /** Weight of one response in the trust: about the last ten count. */
+    /** Weight of one response in {@link #trust}, which averages about the last ten responses. */
     private static final double RESPONSE_EWMA_WEIGHT = 0.1;
 
-    /** Share of confirmed reports below which reports are ignored. */
+    /** Average share of confirming responses below which reports are ignored. */
     private static final double MIN_TRUST = 0.6;
 
-    /** Responses before the operator is warned: fewer may be chance. */
+    /**
+     * Unreported or refuted responses needed before the operator is warned: fewer may be chance.
+     */
     private static final int MIN_RESPONSES_TO_WARN = 10;
 
-    /** Multiple of the checked responses from which unreported ones are the rule. */
+    /**
+     * Multiple of the confirmed and refuted responses that the unreported ones must exceed before
+     * the operator is warned of them.
+     */
     private static final int MOSTLY_UNREPORTED_RATIO = 9;
 
     private long unreported;
@@ -24,17 +30,17 @@
     private double trust = 1;
     private boolean warned;
 
-    /** Responses that should have reported something and did not. */
+    /** Returns the number of responses without the declared report. */
     long unreported() {
         return unreported;
     }
 
-    /** Responses in which the capability held. */
+    /** Returns the number of responses that confirmed the capability or could not be checked. */
     long confirmed() {
         return confirmed;
     }
 
-    /** Responses in which it did not hold. */
+    /** Returns the number of responses that refuted the capability. */
     long refuted() {
         return refuted;
     }
@@ -43,18 +49,19 @@
         unreported++;
     }
 
-    /** Counts a response that could not be checked as one in which the capability held. */
+    /** Counts a response that could not be checked as confirmed; the trust is unchanged. */
     void addUnchecked() {
         confirmed++;
     }
 
-    void addChecked(boolean held) {
-        if (held) {
+    /** Counts a response that confirmed or refuted the capability, and updates the trust. */
+    void addChecked(boolean confirms) {
+        if (confirms) {
             confirmed++;
         } else {
             refuted++;
         }
-        trust += RESPONSE_EWMA_WEIGHT * ((held ? 1 : 0) - trust);
+        trust += RESPONSE_EWMA_WEIGHT * ((confirms ? 1 : 0) - trust);
     }
 
     boolean isTrusted() {
@@ -70,7 +77,7 @@
         return refuted >= MIN_RESPONSES_TO_WARN && !isTrusted();
     }
 
-    /** Whether the operator has yet to be warned; true once. */
+    /** Marks the operator as warned; returns true on the first call and false on later ones. */
     boolean markWarned() {
         boolean first = !warned;
         warned = true;
--- a/src/main/java/waytrestle/responses/CapabilityEvidenceTable.java
+++ b/src/main/java/waytrestle/responses/CapabilityEvidenceTable.java
@@ -5,18 +5,19 @@
 import java.util.Map;
 
 /**
- * Keeps the evidence on declared capabilities, each invoker by itself, and warns once of each
- * capability that an invoker lacks.
+ * Keeps the evidence on each declared capability of each invoker, and warns once per invoker and
+ * capability if the evidence shows that the invoker lacks the capability.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class CapabilityEvidenceTable {
-    /** Receives warnings. */
+    /** Receives the warnings of missing capabilities. */
     interface WarningListener {
         /**
-         * An invoker lacks a declared capability.
+         * Handles the warning that an invoker lacks a declared capability.
          *
-         * @param unreported whether it mostly reports nothing; otherwise what it reports is wrong
+         * @param unreported true if most responses lack the declared report; false if responses
+         *     refute the capability
          */
         void warn(String invoker, DeclaredCapability capability, boolean unreported);
     }
@@ -29,12 +30,14 @@
         this.listener = listener;
     }
 
-    /** Forgets an invoker that has left. */
+    /** Removes the evidence on an invoker that has left the fleet. */
     void remove(String invoker) {
         byInvoker.remove(invoker);
     }
 
-    /** The evidence on all capabilities of an invoker that were of concern so far. */
+    /**
+     * Returns the evidence on an invoker by capability; a capability without evidence is absent.
+     */
     Map<DeclaredCapability, CapabilityEvidence> evidenceOf(String invoker) {
         return byInvoker.getOrDefault(invoker, Map.of());
     }
@@ -45,7 +48,7 @@
                 .computeIfAbsent(capability, key -> new CapabilityEvidence());
     }
 
-    /** A response did not report what was declared. */
+    /** Records a response without the declared report, and warns if such responses are the rule. */
     void addUnreported(String invoker, DeclaredCapability capability) {
         CapabilityEvidence evidence = evidence(invoker, capability);
         evidence.addUnreported();
@@ -54,21 +57,23 @@
         }
     }
 
-    /** A response reported what cannot be checked yet. */
+    /** Records a response whose report cannot be checked yet. */
     void addUnchecked(String invoker, DeclaredCapability capability) {
         evidence(invoker, capability).addUnchecked();
     }
 
-    /** A response was checked against what was declared. */
-    void addChecked(String invoker, DeclaredCapability capability, boolean held) {
+    /**
+     * Records whether a response confirms the capability, and warns if refutations are the rule.
+     */
+    void addChecked(String invoker, DeclaredCapability capability, boolean confirms) {
         CapabilityEvidence evidence = evidence(invoker, capability);
-        evidence.addChecked(held);
+        evidence.addChecked(confirms);
         if (evidence.isMostlyRefuted() && evidence.markWarned()) {
             listener.warn(invoker, capability, false);
         }
     }
 
-    /** Whether reports of an invoker are to be believed. */
+    /** Returns whether the reports of an invoker on a capability are trusted. */
     boolean isTrusted(String invoker, DeclaredCapability capability) {
         return evidence(invoker, capability).isTrusted();
     }
--- a/src/main/java/waytrestle/responses/CapabilityVerifier.java
+++ b/src/main/java/waytrestle/responses/CapabilityVerifier.java
@@ -5,42 +5,62 @@
 import java.util.Map;
 
 /**
- * Checks what invokers are declared to report and do against their responses, and passes on only
- * what is to be believed: an unreported or refuted start is UNKNOWN and a refuted load report is
- * empty, so that the scheduler goes by its own sends and responses there.
+ * Checks the declared capabilities of invokers against their responses, and passes on only trusted
+ * reports: an unreported or refuted start kind becomes UNKNOWN and a refuted load report becomes
+ * empty, so that the scheduler relies on the attempts and responses of its own controller instead.
  *
- * <p>Guards against settings that are wrong of some invokers, and against invokers whose reports
- * are wrong.
+ * <p>Guards against settings that are wrong for some invokers, and against invokers that report
+ * wrong values.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class CapabilityVerifier {
-    /** Multiple of the usual latency up to which a response waited for nothing. */
+    /**
+     * Multiple of the usual run time up to which a response counts as delayed by neither a load nor
+     * a queue.
+     */
     private static final double UNDELAYED_LATENCY_RATIO = 1.5;
 
-    /** Share of a load that a response must have taken to have waited for one. */
+    /**
+     * Share of the load time by which a latency must exceed the usual run time for the response to
+     * count as having waited for a load.
+     */
     private static final double MIN_WAITED_LOAD_SHARE = 0.5;
 
-    /** Share of the run time below which a load is too short to be told from noise. */
+    /**
+     * Load time, as a share of the run time, up to which a load cannot be told from noise in the
+     * latency.
+     */
     private static final double MIN_LOAD_TO_RUN_SHARE = 0.5;
 
-    /** Factor, either way, by which a declared load time must be off to be wrong. */
+    /**
+     * Factor between the measured and the declared load time, either way, from which the declared
+     * one counts as wrong.
+     */
     private static final double WRONG_LOAD_TIME_RATIO = 2;
 
-    /** The same of run times, which vary by what is asked. */
+    /**
+     * Factor between the measured and the declared run time, either way, from which the declared
+     * one counts as wrong; higher than for load times, because run times vary with the request.
+     */
     private static final double WRONG_WORK_TIME_RATIO = 3;
 
-    /** Idle for longer than the keep-alive time over this, a loaded instance shows it is kept. */
+    /**
+     * A warm start confirms the declared keep-alive time only if the instance was idle for longer
+     * than the keep-alive time divided by this number.
+     */
     private static final int MIN_IDLE_DIVISOR = 2;
 
     /**
-     * What the settings declare of all invokers.
+     * The capabilities that the settings declare for all invokers.
      *
-     * @param reportsStartKind that they report whether the instance stood loaded
-     * @param reportsConcurrency that they report how many requests of the function were there
-     * @param reportsLoad that they report their load with each response
-     * @param reportsNotLoaded that they respond at once where the function is not loaded
-     * @param keepAliveMicros how long they keep an idle instance
+     * @param reportsStartKind whether responses report if the instance was loaded
+     * @param reportsConcurrency whether responses report the number of concurrent requests of the
+     *     function
+     * @param reportsLoad whether responses carry a load report
+     * @param reportsNotLoaded whether invokers respond at once, without loading, if the function is
+     *     not loaded
+     * @param keepAliveMicros time for which invokers keep an idle instance loaded
      */
     record DeclaredCapabilities(
             boolean reportsStartKind,
@@ -50,21 +70,21 @@
             long keepAliveMicros) {}
 
     private final DeclaredCapabilities declared;
-    private final CapabilityEvidenceTable ledger;
-    private final LoadReportVerifier loadReports;
+    private final CapabilityEvidenceTable evidence;
+    private final LoadReportVerifier loadReportVerifier;
 
-    CapabilityVerifier(DeclaredCapabilities declared, CapabilityEvidenceTable ledger) {
+    CapabilityVerifier(DeclaredCapabilities declared, CapabilityEvidenceTable evidence) {
         this.declared = declared;
-        this.ledger = ledger;
-        this.loadReports =
+        this.evidence = evidence;
+        this.loadReportVerifier =
                 new LoadReportVerifier(
-                        declared.reportsConcurrency(), declared.reportsLoad(), ledger);
+                        declared.reportsConcurrency(), declared.reportsLoad(), evidence);
     }
 
     /**
-     * Checks what came with a response and returns what of it is to be believed.
+     * Checks the report that came with a response and returns the trusted part of it.
      *
-     * @param function what was known of the function before the response
+     * @param function record of the function without this response
      */
     InvokerLoadReport verify(
             FunctionRecord function, CompletedAttempt attempt, InvokerLoadReport reported) {
@@ -72,13 +92,13 @@
             return InvokerLoadReport.EMPTY;
         }
         Map<String, Double> metrics =
-                loadReports.verifiedMetrics(function, attempt, reported.metrics());
+                loadReportVerifier.verifiedMetrics(function, attempt, reported.metrics());
         StartKind start = reported.start();
         int concurrency = InvokerLoadReport.CONCURRENCY_NOT_REPORTED;
         if (attempt.served()) {
-            start = believedStart(function, attempt, reported.start());
+            start = verifiedStart(function, attempt, reported.start());
             concurrency =
-                    loadReports.verifiedConcurrency(
+                    loadReportVerifier.verifiedConcurrency(
                             attempt, reported.concurrentRequests(), metrics);
         }
         if (reported.start() != StartKind.LOAD_FAILED) {
@@ -90,20 +110,25 @@
     }
 
     /**
-     * A preload succeeded.
+     * Checks the declared capabilities against a successful preload.
      *
-     * @param instances loaded instances that the invoker reports; below 0 if it reports none
+     * @param elapsedMicros time from the send of the preload request to its end
+     * @param declaredLoadMicros load time that the configuration declares for the function; 0 for
+     *     none
+     * @param loadedInstances number of loaded instances that the invoker reports; negative if not
+     *     reported
      */
-    void verifyPreload(String invoker, long elapsedMicros, long declaredLoadMicros, int instances) {
-        if (instances < 0) {
-            ledger.addUnreported(invoker, DeclaredCapability.INSTANCES);
+    void verifyPreload(
+            String invoker, long elapsedMicros, long declaredLoadMicros, int loadedInstances) {
+        if (loadedInstances < 0) {
+            evidence.addUnreported(invoker, DeclaredCapability.INSTANCES);
         } else {
-            ledger.addChecked(invoker, DeclaredCapability.INSTANCES, true);
+            evidence.addChecked(invoker, DeclaredCapability.INSTANCES, true);
         }
         if (declaredLoadMicros > 0) {
             double ratio = elapsedMicros / (double) declaredLoadMicros;
-            boolean held = isWithinFactor(ratio, WRONG_LOAD_TIME_RATIO);
-            ledger.addChecked(invoker, DeclaredCapability.LOAD_TIME, held);
+            boolean confirmed = isWithinFactor(ratio, WRONG_LOAD_TIME_RATIO);
+            evidence.addChecked(invoker, DeclaredCapability.LOAD_TIME, confirmed);
         }
     }
 
@@ -111,12 +136,12 @@
         return ratio < factor && ratio > 1 / factor;
     }
 
-    private StartKind believedStart(
+    private StartKind verifiedStart(
             FunctionRecord function, CompletedAttempt attempt, StartKind reported) {
         String invoker = attempt.invoker();
         if (reported == StartKind.UNKNOWN) {
             if (declared.reportsStartKind()) {
-                ledger.addUnreported(invoker, DeclaredCapability.START);
+                evidence.addUnreported(invoker, DeclaredCapability.START);
             }
             return reported;
         }
@@ -124,46 +149,49 @@
         boolean checkable =
                 latency.isKnown() && latency.loadMicros(attempt.declaredLoadMicros()) > 0;
         if (reported != StartKind.LOAD_FAILED && !checkable) {
-            ledger.addUnchecked(invoker, DeclaredCapability.START);
+            evidence.addUnchecked(invoker, DeclaredCapability.START);
             return reported;
         }
-        boolean held = isPossibleStart(function, attempt, reported);
-        ledger.addChecked(invoker, DeclaredCapability.START, held);
-        boolean believed = held && ledger.isTrusted(invoker, DeclaredCapability.START);
-        return believed ? reported : StartKind.UNKNOWN;
+        boolean confirmed = isPossibleStart(function, attempt, reported);
+        evidence.addChecked(invoker, DeclaredCapability.START, confirmed);
+        boolean trusted = confirmed && evidence.isTrusted(invoker, DeclaredCapability.START);
+        return trusted ? reported : StartKind.UNKNOWN;
     }
 
     /**
-     * Impossible are a load that the latency has no room for, a loaded instance where the latency
-     * is a load's, and a failed load with a served response.
+     * Returns whether the latency of a served response permits the reported start kind. A load
+     * (COLD, JOINED) is refuted if the latency is too short to include one, a warm start if the
+     * latency includes a load and the instance cannot have been loaded. LOAD_FAILED is always
+     * refuted, since the response was served.
      */
     private boolean isPossibleStart(
             FunctionRecord function, CompletedAttempt attempt, StartKind reported) {
         double runMicros = function.latency().runMicros();
         double loadMicros = function.latency().loadMicros(attempt.declaredLoadMicros());
         double undelayedMicros = UNDELAYED_LATENCY_RATIO * runMicros;
-        double waitedMicros = MIN_WAITED_LOAD_SHARE * loadMicros;
+        double minLoadWaitMicros = MIN_WAITED_LOAD_SHARE * loadMicros;
         long latencyMicros = attempt.latencyMicros();
-        boolean mayStandLoaded = mayStandLoaded(function, attempt);
+        boolean mayBeLoaded = mayBeLoaded(function, attempt);
         return switch (reported) {
             case COLD, JOINED -> {
                 boolean undelayed =
-                        latencyMicros < undelayedMicros && latencyMicros < runMicros + waitedMicros;
+                        latencyMicros < undelayedMicros
+                                && latencyMicros < runMicros + minLoadWaitMicros;
                 yield !undelayed || loadMicros <= MIN_LOAD_TO_RUN_SHARE * runMicros;
             }
             case WARM -> {
-                boolean delayed = latencyMicros > undelayedMicros + waitedMicros;
-                yield !delayed || mayStandLoaded;
+                boolean delayed = latencyMicros > undelayedMicros + minLoadWaitMicros;
+                yield !delayed || mayBeLoaded;
             }
             case LOAD_FAILED -> false;
             case UNKNOWN -> true;
         };
     }
 
-    private boolean mayStandLoaded(FunctionRecord function, CompletedAttempt attempt) {
-        long servedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
-        long idleMicros = attempt.sentAtMicros() - servedAtMicros;
-        return servedAtMicros != 0 && idleMicros < declared.keepAliveMicros();
+    private boolean mayBeLoaded(FunctionRecord function, CompletedAttempt attempt) {
+        long lastServedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
+        long idleMicros = attempt.sentAtMicros() - lastServedAtMicros;
+        return lastServedAtMicros != 0 && idleMicros < declared.keepAliveMicros();
     }
 
     private void checkNotLoadedResponses(
@@ -172,7 +200,7 @@
         boolean notLoaded = attempt.kind() == ResponseKind.NOT_LOADED;
         boolean servedBefore = function.history().lastServedAtMicros(attempt.invoker()) != 0;
         if (loadedWhileWaiting || (notLoaded && servedBefore)) {
-            ledger.addChecked(
+            evidence.addChecked(
                     attempt.invoker(),
                     DeclaredCapability.NOT_LOADED_RESPONSES,
                     declared.reportsNotLoaded() == notLoaded);
@@ -181,9 +209,9 @@
 
     private void checkKeepAlive(
             FunctionRecord function, CompletedAttempt attempt, StartKind start) {
-        long servedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
-        long idleMicros = attempt.sentAtMicros() - servedAtMicros;
-        if (servedAtMicros == 0 || idleMicros <= 0 || idleMicros > declared.keepAliveMicros()) {
+        long lastServedAtMicros = function.history().lastServedAtMicros(attempt.invoker());
+        long idleMicros = attempt.sentAtMicros() - lastServedAtMicros;
+        if (lastServedAtMicros == 0 || idleMicros <= 0 || idleMicros > declared.keepAliveMicros()) {
             return;
         }
         boolean unloaded =
@@ -192,15 +220,15 @@
         boolean longIdle = idleMicros > declared.keepAliveMicros() / MIN_IDLE_DIVISOR;
         boolean stillLoaded = attempt.served() && start == StartKind.WARM && longIdle;
         if (unloaded || stillLoaded) {
-            ledger.addChecked(attempt.invoker(), DeclaredCapability.KEEP_ALIVE, stillLoaded);
+            evidence.addChecked(attempt.invoker(), DeclaredCapability.KEEP_ALIVE, stillLoaded);
         }
     }
 
     private void checkWorkTime(FunctionRecord function, CompletedAttempt attempt) {
         if (attempt.served() && attempt.declaredWorkMicros() > 0 && function.latency().isKnown()) {
             double ratio = function.latency().runMicros() / attempt.declaredWorkMicros();
-            boolean held = isWithinFactor(ratio, WRONG_WORK_TIME_RATIO);
-            ledger.addChecked(attempt.invoker(), DeclaredCapability.WORK_TIME, held);
+            boolean confirmed = isWithinFactor(ratio, WRONG_WORK_TIME_RATIO);
+            evidence.addChecked(attempt.invoker(), DeclaredCapability.WORK_TIME, confirmed);
         }
     }
 }
--- a/src/main/java/waytrestle/responses/Classification.java
+++ b/src/main/java/waytrestle/responses/Classification.java
@@ -3,18 +3,18 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * What the end of an attempt means for its request.
+ * The consequences of the end of an attempt for its request.
  *
- * @param code what the scheduler and the retry rules go by
+ * @param code response code for the scheduler and the retry rules
  * @param endsRequest whether the request ends with this attempt
- * @param functionError whether the response is the function's own error, which the client gets if
- *     the request ends with this attempt
- * @param functionNotFound whether the function is known to no invoker
+ * @param functionError whether the response is an error of the function itself, which is sent to
+ *     the client if the request ends with this attempt
+ * @param functionNotFound whether the function counts as unknown to all invokers
  */
 public record Classification(
         ResponseCode code, boolean endsRequest, boolean functionError, boolean functionNotFound) {
 
-    /** An end that leaves the request open. */
+    /** Returns the classification of an attempt that leaves its request open. */
     static Classification undecided(ResponseCode code) {
         return new Classification(code, false, false, false);
     }
--- a/src/main/java/waytrestle/responses/ClassifierEvent.java
+++ b/src/main/java/waytrestle/responses/ClassifierEvent.java
@@ -4,7 +4,10 @@
 
 /** What a response classifier is notified of. Times are in microseconds. */
 public sealed interface ClassifierEvent {
-    /** A new request, with what the configuration declares of its function; 0 is undeclared. */
+    /**
+     * A new request, with the concurrency per instance, the load time and the run time that the
+     * configuration declares for its function; each is 0 if not declared.
+     */
     record RequestStarted(
             long requestId,
             String function,
@@ -25,14 +28,18 @@
     /**
      * A request has ended for its clients.
      *
-     * @param functionResponded whether the function served or rejected it
+     * @param functionResponded whether the function served or rejected the request
      */
     record RequestCompleted(long requestId, boolean functionResponded) implements ClassifierEvent {}
 
     /**
      * A preload request ended.
      *
-     * @param loadedInstances loaded instances that the invoker reports; below 0 if it reports none
+     * @param loadedInstances number of loaded instances that the invoker reports; negative if not
+     *     reported
+     * @param elapsedMicros time from the send of the preload request to its end
+     * @param declaredLoadMicros load time that the configuration declares for the function; 0 for
+     *     none
      */
     record PreloadCompleted(
             String invoker,
@@ -43,12 +50,12 @@
             long declaredLoadMicros)
             implements ClassifierEvent {}
 
-    /** The endpoint list of service discovery, complete or changes only. */
+    /** Service discovery sent a complete endpoint list or only changes to it. */
     record EndpointListReceived(EndpointsUpdated update) implements ClassifierEvent {}
 
-    /** An invoker closed all cached connections, though they were used a moment ago. */
+    /** An invoker closed all cached connections to it, although they were in use shortly before. */
     record ConnectionsLost(String invoker) implements ClassifierEvent {}
 
-    /** The time of an earlier {@link ClassifierCommand.SetTimer} has come. */
+    /** The time of an earlier {@link ClassifierCommand.SetTimer} has passed. */
     record TimerExpired() implements ClassifierEvent {}
 }
--- a/src/main/java/waytrestle/responses/ConcurrencyEstimate.java
+++ b/src/main/java/waytrestle/responses/ConcurrencyEstimate.java
@@ -1,37 +1,49 @@
 package waytrestle.responses;
 
 /**
- * Estimates how many requests one instance of a function runs at a time, from responses that came
- * too quick or too slow for what was declared.
+ * Estimates how many requests one instance of a function runs at a time, from latencies that are
+ * too short or too long for the declared concurrency.
  *
- * <p>A level counts the requests that this controller has in flight there. Those of other
- * controllers make it higher in truth, so that quick responses prove concurrency and slow ones
- * prove little; they count only where nobody else had requests there.
+ * <p>A concurrency level is the number of requests of the function that this controller has in
+ * flight at an invoker. The true concurrency can be higher, because of requests of other
+ * controllers. Short latencies therefore prove that an instance runs as many requests at a time as
+ * the level says, but long latencies prove a queue only if nothing else was in flight at the
+ * invoker.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class ConcurrencyEstimate {
-    /** Levels told apart; beyond this concurrency no queue forms that matters. */
+    /** Highest concurrency level measured; at higher levels no queue forms that matters. */
     private static final int MAX_LEVEL = 32;
 
-    /** Multiple of the latency of a request alone up to which no request was queued. */
+    /**
+     * Multiple of the mean latency at level 1 up to which requests of a level count as not queued.
+     */
     private static final double UNQUEUED_LATENCY_RATIO = 1.4;
 
-    /** Multiple of the latency of a request alone from which some request was queued. */
+    /**
+     * Multiple of the mean latency at level 1 from which some requests of a level count as queued.
+     */
     private static final double QUEUED_LATENCY_RATIO = 1.7;
 
-    /** Responses of a level before its mean is used. */
+    /** Responses needed at a level before its mean latency is used. */
     private static final int MIN_RESPONSES = 10;
 
     private final LatencyByLevel allResponses = new LatencyByLevel();
-    private final LatencyByLevel responsesAlone = new LatencyByLevel();
+    private final LatencyByLevel responsesAloneAtInvoker = new LatencyByLevel();
 
     /** Mean latency of each concurrency level. */
     private static final class LatencyByLevel {
-        /** Weight of a response: about the last ten count. */
+        /**
+         * Lowest weight of a response in the mean latency, which covers about the last ten
+         * responses.
+         */
         private static final double RESPONSE_EWMA_WEIGHT = 0.1;
 
-        /** Where counting stops; only the first few matter. */
+        /**
+         * Response count of a level at which counting stops; only the first few responses affect
+         * the weight.
+         */
         private static final int MAX_RESPONSES_COUNTED = 1_000;
 
         private final float[] meanMicros = new float[MAX_LEVEL + 1];
@@ -63,32 +75,38 @@
     }
 
     /**
-     * Takes in a response of a loaded instance.
+     * Records the latency of a response of a loaded instance.
      *
-     * @param level requests of the function in flight there when this one was sent, itself included
-     * @param alone whether nobody else had requests there
+     * @param level number of requests of the function that this controller had in flight at the
+     *     invoker when the request was sent, that request included
+     * @param aloneAtInvoker whether no other requests were in flight at the invoker
      */
-    void addResponse(int level, long latencyMicros, boolean alone) {
+    void addResponse(int level, long latencyMicros, boolean aloneAtInvoker) {
         if (level < 1 || level > MAX_LEVEL) {
             return;
         }
         allResponses.add(level, latencyMicros);
-        if (alone) {
-            responsesAlone.add(level, latencyMicros);
+        if (aloneAtInvoker) {
+            responsesAloneAtInvoker.add(level, latencyMicros);
         }
     }
 
-    /** The concurrency per instance to go by; 0 where none was declared and none learned. */
+    /**
+     * Returns the declared concurrency per instance, raised or lowered if latencies prove it wrong;
+     * 0 if none is declared and none proven.
+     */
     int correctedConcurrency(int declared) {
         if (!allResponses.isKnown(1)) {
             return declared;
         }
-        int proven = highestUnqueuedLevel();
-        if (proven > declared) {
-            return proven;
+        int provenLevel = highestUnqueuedLevel();
+        if (provenLevel > declared) {
+            return provenLevel;
         }
-        for (int level = Math.max(2, proven + 1); level <= Math.min(declared, MAX_LEVEL); level++) {
-            if (responsesAlone.isQueued(level)) {
+        for (int level = Math.max(2, provenLevel + 1);
+                level <= Math.min(declared, MAX_LEVEL);
+                level++) {
+            if (responsesAloneAtInvoker.isQueued(level)) {
                 return Math.max(1, level - 1);
             }
         }
--- a/src/main/java/waytrestle/responses/DeclaredCapability.java
+++ b/src/main/java/waytrestle/responses/DeclaredCapability.java
@@ -1,27 +1,37 @@
 package waytrestle.responses;
 
-/** What settings declare that invokers report or do, as far as responses can show it. */
+/** A capability that the settings declare for invokers and that responses can confirm or refute. */
 public enum DeclaredCapability {
-    /** Reports whether the instance stood loaded. */
-    START("start", "says of each answer whether the copy stood loaded", "loading.tells_start"),
-    /** Reports how many requests of the function were there. */
+    /** Reports with each response whether the instance was loaded. */
+    START(
+            "start",
+            "reports with each response whether the instance was loaded",
+            "loading.tells_start"),
+    /** Reports how many requests of the function were in flight at the invoker. */
     CONCURRENCY(
-            "company", "says how many calls of the function were there", "loading.tells_company"),
+            "company",
+            "reports how many requests of the function were in flight",
+            "loading.tells_company"),
     /** Reports how many instances are loaded after a preload. */
-    INSTANCES("copies", "says how many copies stand after a load order", "loading.orders"),
+    INSTANCES("copies", "reports how many instances are loaded after a preload", "loading.orders"),
     /** Reports its load with each response. */
-    LOAD_REPORTS("reports", "reports its load with each answer", "reports.how"),
-    /** Responds at once, or loads while the request waits, where the function is not loaded. */
+    LOAD_REPORTS("reports", "reports its load with each response", "reports.how"),
+    /**
+     * Responds at once or loads the function while the request waits, as declared, if the function
+     * is not loaded.
+     */
     NOT_LOADED_RESPONSES(
             "miss_answers",
-            "answers 404 for what it lacks, or loads it while the call waits, as stated",
+            "responds 404 if the function is not loaded, or loads it while the request waits, as"
+                    + " declared",
             "loading.miss_answers"),
     /** Keeps an idle instance for the declared time. */
-    KEEP_ALIVE("keep_alive", "keeps an idle copy for the stated time", "loading.keep_alive_ms"),
+    KEEP_ALIVE(
+            "keep_alive", "keeps an idle instance for the declared time", "loading.keep_alive_ms"),
     /** Loads the function in about the declared time. */
-    LOAD_TIME("load_time", "loads the function in about the stated time", "function.load_ms"),
+    LOAD_TIME("load_time", "loads the function in about the declared time", "function.load_ms"),
     /** Runs the function in about the declared time. */
-    WORK_TIME("work_time", "runs the function in about the stated time", "function.work_ms");
+    WORK_TIME("work_time", "runs the function in about the declared time", "function.work_ms");
 
     private final String label;
     private final String description;
@@ -33,17 +43,17 @@
         this.setting = setting;
     }
 
-    /** What the invoker is declared to do, as operators read it. */
+    /** Returns the declared behavior as text for operators. */
     public String description() {
         return description;
     }
 
-    /** The setting that declares it. */
+    /** Returns the key of the setting that declares the capability. */
     public String setting() {
         return setting;
     }
 
-    /** Its name in metrics. */
+    /** Returns the label of the capability in metrics. */
     public String label() {
         return label;
     }
--- a/src/main/java/waytrestle/responses/EndpointListFilter.java
+++ b/src/main/java/waytrestle/responses/EndpointListFilter.java
@@ -11,14 +11,18 @@
 import java.util.function.Consumer;
 
 /**
- * Turns the endpoint list of service discovery into the list as the scheduler is to see it: ejected
- * invokers as draining, and restarts known before service discovery reports them.
+ * Converts the endpoint lists of service discovery into the lists for the scheduler: ejected
+ * invokers are draining in them, and a restart inferred from closed connections shows in them
+ * before service discovery reports it.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class EndpointListFilter {
-    /** Broken requests after which the scheduler backs off from the invoker by itself. */
-    private static final int LOSSES_SEEN_BY_SCHEDULER = 2;
+    /**
+     * Number of attempts affected by a restart from which the scheduler backs off from the invoker
+     * by itself.
+     */
+    private static final int MIN_AFFECTED_ATTEMPTS_FOR_BACKOFF = 2;
 
     private final InvokerTable invokers;
     private final OutlierEjection ejection;
@@ -31,7 +35,10 @@
         this.onInvokerRemoved = onInvokerRemoved;
     }
 
-    /** Takes in a list of service discovery and passes it on. */
+    /**
+     * Applies an endpoint list of service discovery to the invoker records and passes the converted
+     * list on to the scheduler.
+     */
     void update(EndpointsUpdated list, long nowMicros, Sink commands) {
         if (list.snapshot()) {
             invokers.forEach((id, invoker) -> invoker.setEndpoint(null));
@@ -40,7 +47,7 @@
         for (InvokerEndpoint listed : list.entries()) {
             InvokerRecord invoker = invokers.findOrAdd(listed.id());
             if (isRestart(invoker, listed) && invoker.health().isEjected()) {
-                // The new process has done nothing wrong yet.
+                // The failures that led to the ejection were those of the earlier process.
                 ejection.readmit(listed.id(), invoker, nowMicros, commands);
             }
             invoker.setEndpoint(listed.state() == EndpointState.GONE ? null : listed);
@@ -57,19 +64,21 @@
     }
 
     /**
-     * An invoker closed all cached connections.
+     * Treats an invoker that closed all cached connections to it as restarted now, unless so many
+     * attempts are affected that the scheduler backs off from the invoker by itself.
      *
-     * <p>Guards against loading a process that restarted before service discovery said so: its
-     * connections showed the end of the earlier process, and from now on it counts as just started.
-     * It can hurt where a server closes connections that are in use.
+     * <p>Guards against overloading a newly started process before service discovery reports the
+     * restart: the closed connections show that the earlier process ended. The drawback: a server
+     * that closes connections while they are in use counts as restarted too.
      */
     void handleConnectionsLost(String id, long nowMicros, Sink commands) {
         InvokerRecord invoker = invokers.find(id);
         if (invoker == null || !invoker.isReady()) {
             return;
         }
-        int losses = invoker.attemptsInFlight() + invoker.recentConnectionLosses(nowMicros);
-        if (losses >= LOSSES_SEEN_BY_SCHEDULER) {
+        int affectedAttempts =
+                invoker.attemptsInFlight() + invoker.recentConnectionLosses(nowMicros);
+        if (affectedAttempts >= MIN_AFFECTED_ATTEMPTS_FOR_BACKOFF) {
             return;
         }
         invoker.markRestarted(nowMicros);
--- a/src/main/java/waytrestle/responses/ExchangeResult.java
+++ b/src/main/java/waytrestle/responses/ExchangeResult.java
@@ -1,29 +1,29 @@
 package waytrestle.responses;
 
 /**
- * What came back of an attempt or a preload request, in terms of the protocol.
+ * The result of an attempt, a preload request or a health check at the level of the protocol.
  *
  * @param status the HTTP status; 0 if there was none
  */
 public record ExchangeResult(Kind kind, int status) {
     private static final int NO_STATUS = 0;
 
-    /** How the exchange ended. */
+    /** How an exchange of a request and its response with an invoker ended. */
     public enum Kind {
         /** A well-formed response of the function. */
         RESPONSE("answer"),
         /** A complete message whose status says that it is no response of the function. */
         STATUS("status"),
         /**
-         * A message of success that is not well-formed, one for another request, or bytes that are
-         * no HTTP.
+         * A success message that is not well-formed or belongs to another request, or bytes that
+         * are not HTTP.
          */
         MALFORMED("unreadable"),
-        /** No connection, or it broke before the first byte of the request was sent. */
+        /** There was no connection, or it broke before the first byte of the request was sent. */
         NOT_CONNECTED("unreached"),
-        /** The connection broke after the first byte was sent. */
+        /** The connection broke after the first byte of the request was sent. */
         CONNECTION_LOST("cut"),
-        /** Nothing came within the time given. */
+        /** No response arrived within the time limit. */
         TIMEOUT("timeout"),
         /** Cancelled by this controller. */
         CANCELLED("cancelled"),
@@ -39,12 +39,15 @@
         }
     }
 
-    /** A result without a status. */
+    /** Returns a result without a status. */
     public static ExchangeResult of(Kind kind) {
         return new ExchangeResult(kind, NO_STATUS);
     }
 
-    /** As clients, logs and metrics show it: a status, or what happened in place of one. */
+    /**
+     * Returns the text for clients, logs and metrics: the HTTP status, or a label of the kind if
+     * there is no status.
+     */
     public String text() {
         return switch (kind) {
             case STATUS -> Integer.toString(status);
--- a/src/main/java/waytrestle/responses/FailureAttribution.java
+++ b/src/main/java/waytrestle/responses/FailureAttribution.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Decides who a failure is held against: the function, if it fails alike at all invokers, or the
- * invoker, if the function does better elsewhere.
+ * Attributes failures to the function if it fails at all invokers alike, or to the invoker if the
+ * function fails less at other invokers.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -16,10 +16,10 @@
     private final boolean invokersReportNotLoaded;
 
     /**
-     * An attribution that adds to the health of these invokers.
+     * Creates an attribution that records failures in the health of the given invokers.
      *
-     * @param invokersReportNotLoaded whether a not-loaded response is ordinary; otherwise it counts
-     *     as a failure of the invoker
+     * @param invokersReportNotLoaded whether invokers are declared to send not-loaded responses; if
+     *     not, a not-loaded response of a recently served function counts as a failure
      */
     FailureAttribution(
             InvokerTable invokers, OutlierEjection ejection, boolean invokersReportNotLoaded) {
@@ -28,7 +28,7 @@
         this.invokersReportNotLoaded = invokersReportNotLoaded;
     }
 
-    /** Takes in how an attempt ended. */
+    /** Records the outcome of an attempt for its function and its invoker. */
     void addOutcome(AttemptOutcome outcome, long nowMicros, Sink commands) {
         ResponseKind kind = outcome.kind();
         FunctionRecord function = outcome.function();
@@ -67,11 +67,14 @@
                 failure, history.failureShareAtOtherInvokers(invoker, nowMicros), nowMicros);
     }
 
-    /** A response here shows that failures of the function elsewhere were their invokers'. */
+    /**
+     * Attributes earlier failures of the function at other invokers to these invokers, because the
+     * function has now served or rejected a request at the given one.
+     */
     private void attributeEarlierFailures(
             FunctionRecord function, String invoker, long nowMicros, Sink commands) {
-        Map<String, Integer> explained = function.takeFailuresOfOtherInvokers(invoker);
-        for (Map.Entry<String, Integer> entry : explained.entrySet()) {
+        Map<String, Integer> failuresByInvoker = function.takeFailuresOfOtherInvokers(invoker);
+        for (Map.Entry<String, Integer> entry : failuresByInvoker.entrySet()) {
             String otherId = entry.getKey();
             InvokerRecord other = invokers.find(otherId);
             if (other != null) {
--- a/src/main/java/waytrestle/responses/FunctionCircuit.java
+++ b/src/main/java/waytrestle/responses/FunctionCircuit.java
@@ -7,28 +7,29 @@
  * The circuit breaker of one function, after Nygard ("Release It!", 2nd ed., ch. 5), with one probe
  * at a time when half open.
  *
- * <p>Guards against a function that fails everywhere: its requests cost two attempts each and show
- * nothing new. It can hurt a function that recovers: its requests go on failing until the next
- * probe, at most the longest pause.
+ * <p>Guards against the load of a function that fails at all invokers: each of its requests costs
+ * two attempts and gives no new information. The drawback: after the function recovers, its
+ * requests are still rejected until the next probe, for at most the longest pause.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class FunctionCircuit {
-    /** Invokers at which the function must have failed, where there are as many. */
+    /** Number of invokers at which the function must have failed, if as many are ready. */
     private static final int MIN_FAILING_INVOKERS = 2;
 
-    /** Failing invokers remembered; far more than are needed. */
+    /** Highest number of failing invokers remembered, far above {@link #MIN_FAILING_INVOKERS}. */
     private static final int MAX_FAILING_INVOKERS = 16;
 
-    /** No request is probing. */
+    /** Value of the request id of the probe while there is no probe. */
     private static final long NO_PROBE = 0;
 
     /**
-     * When the circuit opens and how it probes.
+     * The rules by which the circuit opens and probes.
      *
-     * @param failedRequestsToOpen requests in a row that must have failed
-     * @param firstPauseMicros first pause until a probe; it doubles with each probe that fails
-     * @param maxPauseMicros longest pause
+     * @param failedRequestsToOpen consecutive failed requests that open the circuit
+     * @param firstPauseMicros time from the opening of the circuit to the first probe; it doubles
+     *     with each failed probe
+     * @param maxPauseMicros longest time until the next probe
      */
     record Rules(int failedRequestsToOpen, long firstPauseMicros, long maxPauseMicros) {}
 
@@ -40,8 +41,8 @@
 
     private final Rules rules;
     private final Set<String> failingInvokers = new HashSet<>();
-    private int failedRequestsInRow;
-    private ExchangeResult lastResult;
+    private int consecutiveFailedRequests;
+    private ExchangeResult lastFailureResult;
     private State state = State.CLOSED;
     private long nextProbeAtMicros;
     private long pauseMicros;
@@ -55,42 +56,57 @@
         return state;
     }
 
-    /** The result of the last request that failed. */
+    /** Returns the result of the last failed request; null if none has failed. */
     ExchangeResult lastFailureResult() {
-        return lastResult;
+        return lastFailureResult;
     }
 
-    /** Whether the function, and not an invoker, is held to be the cause of its failures. */
+    /**
+     * Returns whether failures of the function are attributed to the function itself and not to an
+     * invoker.
+     */
     boolean isFunctionFaulty() {
-        return state != State.CLOSED || failedRequestsInRow >= rules.failedRequestsToOpen();
+        return state != State.CLOSED || consecutiveFailedRequests >= rules.failedRequestsToOpen();
     }
 
-    /** The function served or rejected, so that it works. */
+    /**
+     * Closes the circuit and forgets earlier failures; called after the function has served or
+     * rejected a request.
+     */
     void close() {
-        failedRequestsInRow = 0;
+        consecutiveFailedRequests = 0;
         failingInvokers.clear();
         state = State.CLOSED;
         pauseMicros = 0;
         probeRequestId = NO_PROBE;
     }
 
-    /** A failure at an invoker under no suspicion, so that it may count against the function. */
+    /**
+     * Records an invoker that is no outlier and at which the function failed, as evidence against
+     * the function.
+     */
     void addFailingInvoker(String invoker) {
         if (failingInvokers.size() < MAX_FAILING_INVOKERS) {
             failingInvokers.add(invoker);
         }
     }
 
-    /** A request failed; the number of ready invokers bounds how many can show the failure. */
+    /**
+     * Records a failed request. Opens the circuit if the request was the probe, or if enough
+     * consecutive requests have failed at enough invokers.
+     *
+     * @param readyInvokers number of ready invokers, which bounds the number of failing invokers
+     *     required
+     */
     void recordFailedRequest(
             long requestId, ExchangeResult result, int readyInvokers, long nowMicros) {
-        lastResult = result;
-        failedRequestsInRow++;
-        int neededInvokers = Math.min(MIN_FAILING_INVOKERS, Math.max(1, readyInvokers));
-        boolean failsEverywhere =
-                failedRequestsInRow >= rules.failedRequestsToOpen()
-                        && failingInvokers.size() >= neededInvokers;
-        if (requestId == probeRequestId || (state == State.CLOSED && failsEverywhere)) {
+        lastFailureResult = result;
+        consecutiveFailedRequests++;
+        int requiredFailingInvokers = Math.min(MIN_FAILING_INVOKERS, Math.max(1, readyInvokers));
+        boolean failsAtAllInvokers =
+                consecutiveFailedRequests >= rules.failedRequestsToOpen()
+                        && failingInvokers.size() >= requiredFailingInvokers;
+        if (requestId == probeRequestId || (state == State.CLOSED && failsAtAllInvokers)) {
             open(nowMicros);
         }
     }
@@ -106,7 +122,10 @@
         probeRequestId = NO_PROBE;
     }
 
-    /** Whether a request is admitted; after the pause one at a time is, as a probe. */
+    /**
+     * Returns whether the request is admitted. While the circuit is not closed, a request is
+     * admitted only after the pause and if there is no probe; it becomes the probe.
+     */
     boolean tryAdmit(long requestId, long nowMicros) {
         if (state == State.CLOSED) {
             return true;
@@ -119,7 +138,10 @@
         return false;
     }
 
-    /** A request is over; after a probe that showed nothing the next request is the probe. */
+    /**
+     * Records the end of a request. If the request is still the probe, it has shown neither success
+     * nor failure, and the next request may become the probe.
+     */
     void recordCompletedRequest(long requestId) {
         if (requestId == probeRequestId) {
             probeRequestId = NO_PROBE;
@@ -127,7 +149,7 @@
         }
     }
 
-    /** Time until the next probe, at least one pause. */
+    /** Returns the time in microseconds until the next probe, but at least the first pause. */
     long retryAfterMicros(long nowMicros) {
         return Math.max(rules.firstPauseMicros(), nextProbeAtMicros - nowMicros);
     }
--- a/src/main/java/waytrestle/responses/FunctionRecord.java
+++ b/src/main/java/waytrestle/responses/FunctionRecord.java
@@ -3,15 +3,18 @@
 import java.util.Map;
 
 /**
- * What this controller knows of one function from its responses at all invokers.
+ * Holds what this controller has learned about one function from its responses at all invokers.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class FunctionRecord {
-    /** Loads before their measured time may overrule the declared one. */
+    /** Measured loads needed before the measured load time may replace the declared one. */
     private static final int MIN_LOADS_MEASURED = 3;
 
-    /** Factor, either way, by which a declared load time must be off to be overruled. */
+    /**
+     * Factor between the measured and the declared load time, either way, above which the measured
+     * one replaces the declared one.
+     */
     private static final double WRONG_LOAD_TIME_RATIO = 2;
 
     private final FunctionCircuit circuit;
@@ -40,7 +43,7 @@
         return concurrency;
     }
 
-    /** Takes in a served response, a rejection or a failure. */
+    /** Records a served response, a rejection or a failure. */
     void addResponse(String invoker, ResponseKind kind, long nowMicros) {
         if (kind.isFailure() || kind == ResponseKind.NOT_LOADED) {
             unattributed.add(invoker);
@@ -52,19 +55,23 @@
     }
 
     /**
-     * Takes out the failures at other invokers, by invoker, that a response at this one shows to be
-     * theirs. None while the function itself is blamed: its recovery proves nothing against
-     * anybody.
+     * Removes the unattributed failures at all invokers but the given one, which has responded
+     * without a failure, and returns their numbers by invoker. While the function itself counts as
+     * faulty, the result is empty and the failures are discarded: the recovery of the function is
+     * no evidence against an invoker.
      */
-    Map<String, Integer> takeFailuresOfOtherInvokers(String invoker) {
+    Map<String, Integer> takeFailuresOfOtherInvokers(String respondingInvoker) {
         if (circuit.isFunctionFaulty()) {
             unattributed.clear();
             return Map.of();
         }
-        return unattributed.takeAllExcept(invoker);
+        return unattributed.takeAllExcept(respondingInvoker);
     }
 
-    /** The load time to go by: the declared one, until loads have shown another. */
+    /**
+     * Returns the declared load time, or the measured one if enough loads have shown that the
+     * declared one is wrong; both in microseconds.
+     */
     long correctedLoadMicros(long declaredMicros) {
         if (declaredMicros <= 0 || latency.measuredLoads() < MIN_LOADS_MEASURED) {
             return declaredMicros;
--- a/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
+++ b/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
@@ -27,26 +27,29 @@
 import java.util.Map;
 
 /**
- * Classifies how attempts end and keeps, from that, the health of functions and of invokers apart.
+ * Classifies the ends of attempts and derives from them the health of functions and, separately, of
+ * invokers.
  *
- * <p>Where requests run remains the scheduler's decision: from here it receives response codes,
- * verified load reports, corrected declarations, and an endpoint list in which an outlier drains
- * for a while. Requests of a function that fails everywhere are rejected here until a probe finds
- * it well.
+ * <p>The scheduler still decides where requests run. It receives response codes, verified load
+ * reports, corrected declarations of functions, and endpoint lists in which an ejected outlier is
+ * draining. The classifier rejects the requests of a function that fails at all invokers until a
+ * probe succeeds.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class HealthTrackingClassifier implements ResponseClassifier {
     /**
-     * Settings; times are in microseconds.
+     * Settings of the classifier; times are in microseconds.
      *
-     * @param attemptsPerRequest attempts allowed per request, over all requests
-     * @param matchingFailuresToEndRequest failures alike that end a request
-     * @param maxEjectedShare share of the ready invokers that may be ejected at a time
-     * @param breakerFailedRequests failed requests in a row that open a function's circuit
-     * @param breakerFirstPauseMicros first pause until a probe
-     * @param breakerMaxPauseMicros longest pause until a probe
-     * @param maxFunctions functions remembered; the least recently used one is forgotten
+     * @param attemptsPerRequest attempts allowed per request, as an average over all requests
+     * @param matchingFailuresToEndRequest failures of a request with the same result that end the
+     *     request
+     * @param maxEjectedShare highest share of the ready invokers that may be ejected at a time
+     * @param breakerFailedRequests consecutive failed requests that open a function's circuit
+     * @param breakerFirstPauseMicros time from the opening of a circuit to its first probe
+     * @param breakerMaxPauseMicros longest time until the next probe of an open circuit
+     * @param maxFunctions highest number of functions remembered; the least recently used one is
+     *     evicted
      */
     public record Settings(
             double attemptsPerRequest,
@@ -57,9 +60,14 @@
             long breakerMaxPauseMicros,
             int maxFunctions) {}
 
-    /** Receives what responses have shown of one declared capability of one invoker. */
+    /**
+     * Receives the numbers of responses that confirm or refute a declared capability of an invoker.
+     */
     public interface CapabilityCountsConsumer {
-        /** Takes the numbers of responses that did not report it, confirmed and refuted it. */
+        /**
+         * Accepts the numbers of responses that did not report, confirmed and refuted one
+         * capability of one invoker.
+         */
         void accept(
                 String invoker,
                 DeclaredCapability capability,
@@ -68,13 +76,13 @@
                 long refuted);
     }
 
-    private static final int INITIAL_FUNCTIONS = 64;
+    private static final int INITIAL_FUNCTION_CAPACITY = 64;
     private static final int STATUS_BAD_REQUEST = 400;
     private static final int STATUS_NOT_FOUND = 404;
 
     private final int controllers;
     private final AttemptBudget attemptBudget;
-    private final CapabilityEvidenceTable capabilityLedger;
+    private final CapabilityEvidenceTable capabilityEvidence;
     private final CapabilityVerifier capabilityVerifier;
     private final LeastRecentlyUsedMap<FunctionRecord> functions;
     private final InvokerTable invokers = new InvokerTable();
@@ -83,18 +91,27 @@
     private final OutlierEjection ejection;
     private final EndpointListFilter endpointList;
     private final FailureAttribution attribution;
-    private final AttemptClassifier requestClassification;
+    private final AttemptClassifier attemptClassifier;
+
+    /** Time of the event being handled. */
     private long nowMicros;
+
+    /** Receives the commands that follow from the event being handled. */
     private Sink commands;
 
-    /** A classifier for one of a number of controllers that share the invokers. */
+    /**
+     * Creates a classifier for one controller.
+     *
+     * @param controllers number of controllers that share the invokers, including the one of the
+     *     classifier
+     */
     public HealthTrackingClassifier(
             Settings settings, Preloading loading, LoadReportSource reports, int controllers) {
         this.controllers = controllers;
         this.attemptBudget = new AttemptBudget(settings.attemptsPerRequest());
-        this.capabilityLedger = new CapabilityEvidenceTable(this::warnOfCapability);
+        this.capabilityEvidence = new CapabilityEvidenceTable(this::warnOfCapability);
         this.capabilityVerifier =
-                new CapabilityVerifier(declaration(loading, reports), capabilityLedger);
+                new CapabilityVerifier(declaredCapabilities(loading, reports), capabilityEvidence);
         FunctionCircuit.Rules circuitRules =
                 new FunctionCircuit.Rules(
                         settings.breakerFailedRequests(),
@@ -102,17 +119,17 @@
                         settings.breakerMaxPauseMicros());
         this.functions =
                 new LeastRecentlyUsedMap<>(
-                        INITIAL_FUNCTIONS,
+                        INITIAL_FUNCTION_CAPACITY,
                         settings.maxFunctions(),
                         () -> new FunctionRecord(circuitRules));
         this.ejection = new OutlierEjection(invokers, settings.maxEjectedShare());
-        this.endpointList = new EndpointListFilter(invokers, ejection, capabilityLedger::remove);
+        this.endpointList = new EndpointListFilter(invokers, ejection, capabilityEvidence::remove);
         this.attribution = new FailureAttribution(invokers, ejection, loading.reportsNotLoaded());
-        this.requestClassification =
+        this.attemptClassifier =
                 new AttemptClassifier(invokers, settings.matchingFailuresToEndRequest(), loading);
     }
 
-    private static CapabilityVerifier.DeclaredCapabilities declaration(
+    private static CapabilityVerifier.DeclaredCapabilities declaredCapabilities(
             Preloading loading, LoadReportSource reports) {
         return new CapabilityVerifier.DeclaredCapabilities(
                 loading.reportsStartKind(),
@@ -128,9 +145,9 @@
     }
 
     @Override
-    public void handle(long eventMicros, ClassifierEvent event, Sink out) {
+    public void handle(long eventMicros, ClassifierEvent event, Sink sink) {
         nowMicros = eventMicros;
-        commands = out;
+        commands = sink;
         if (event instanceof RequestStarted started) {
             startRequest(started);
         } else if (event instanceof AttemptRequested requested) {
@@ -151,8 +168,8 @@
     }
 
     @Override
-    public ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult reply) {
-        ResponseCode code = ResponseKind.of(reply).code();
+    public ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult result) {
+        ResponseCode code = ResponseKind.of(result).code();
         return code == ResponseCode.REJECTED ? ResponseCode.ERROR : code;
     }
 
@@ -161,14 +178,17 @@
         return openRequests.size() + inFlight.size() + invokers.retainedEntries();
     }
 
-    /** Reports the evidence on all declared capabilities of all invokers. */
-    public void forEachCapability(CapabilityCountsConsumer counts) {
+    /**
+     * Passes the counts of each declared capability of each invoker to the consumer; capabilities
+     * without evidence are left out.
+     */
+    public void forEachCapability(CapabilityCountsConsumer consumer) {
         for (String invoker : invokers.ids()) {
-            capabilityLedger
+            capabilityEvidence
                     .evidenceOf(invoker)
                     .forEach(
                             (capability, evidence) ->
-                                    counts.accept(
+                                    consumer.accept(
                                             invoker,
                                             capability,
                                             evidence.unreported(),
@@ -177,12 +197,12 @@
         }
     }
 
-    /** Invokers that are ejected at present. */
+    /** Returns the number of invokers that are ejected. */
     public long ejectedInvokers() {
         return invokers.ejectedCount();
     }
 
-    /** Functions whose circuit is not closed at present. */
+    /** Returns the number of functions whose circuit is not closed. */
     public long openCircuits() {
         long open = 0;
         for (FunctionRecord function : functions.values()) {
@@ -220,9 +240,12 @@
         AttemptKey key = new AttemptKey(event.requestId(), event.attempt());
         String function = request.startEvent().function();
         InvokerRecord invoker = invokers.findOrAdd(event.invoker());
-        int level = invoker.addAttempt(key, function, nowMicros);
-        boolean alone = controllers == 1 && invoker.attemptsInFlight() == level;
-        inFlight.put(key, new InFlightAttempt(function, event.invoker(), nowMicros, level, alone));
+        int concurrencyLevel = invoker.addAttempt(key, function, nowMicros);
+        boolean aloneAtInvoker = controllers == 1 && invoker.attemptsInFlight() == concurrencyLevel;
+        inFlight.put(
+                key,
+                new InFlightAttempt(
+                        function, event.invoker(), nowMicros, concurrencyLevel, aloneAtInvoker));
         commands.add(new ForwardAttempt(event.requestId(), event.attempt()));
     }
 
@@ -239,10 +262,10 @@
         InvokerRecord invoker = invokers.findOrAdd(attempt.invoker());
         RequestRecord request = openRequests.get(event.requestId());
         CompletedAttempt completed = completedAttempt(attempt, kind, request);
-        InvokerLoadReport believed =
+        InvokerLoadReport verified =
                 capabilityVerifier.verify(function, completed, event.loadReport());
         invoker.removeAttempt(key, attempt.function());
-        learnFrom(function, attempt, kind, believed.start());
+        recordLatency(function, attempt, kind, verified.start());
         if (kind == ResponseKind.CONNECTION_LOST) {
             invoker.addConnectionLoss(nowMicros);
         }
@@ -253,14 +276,14 @@
                         kind,
                         event.result(),
                         invoker.health().isOutlierOrEjected(nowMicros));
-        addCompletion(event, classify(request, outcome, event.loadReport().start()), believed);
+        addCompletion(event, classify(request, outcome, event.loadReport().start()), verified);
         ejection.ejectIfOutlier(attempt.invoker(), invoker, nowMicros, commands);
     }
 
     private void addCompletion(
-            AttemptCompleted event, Classification classification, InvokerLoadReport believed) {
+            AttemptCompleted event, Classification classification, InvokerLoadReport verified) {
         commands.add(
-                new CompleteAttempt(event.requestId(), event.attempt(), classification, believed));
+                new CompleteAttempt(event.requestId(), event.attempt(), classification, verified));
     }
 
     private CompletedAttempt completedAttempt(
@@ -275,7 +298,7 @@
                 request == null ? 0 : request.startEvent().declaredWorkMicros());
     }
 
-    private void learnFrom(
+    private void recordLatency(
             FunctionRecord function, InFlightAttempt attempt, ResponseKind kind, StartKind start) {
         if (kind != ResponseKind.SERVED) {
             return;
@@ -289,7 +312,12 @@
         }
     }
 
-    /** A failed load is a fault of the model store: it is held against nobody. */
+    /**
+     * Classifies the outcome of an attempt. A failed load is a fault of the model store and is
+     * attributed to neither the function nor the invoker.
+     *
+     * @param request the request of the attempt; null if it is not open any more
+     */
     private Classification classify(
             RequestRecord request, AttemptOutcome outcome, StartKind reportedStart) {
         boolean loadFailed = reportedStart == StartKind.LOAD_FAILED;
@@ -300,7 +328,7 @@
         if (request == null || notLoadedAfterFailedLoad) {
             return Classification.undecided(outcome.kind().code());
         }
-        return requestClassification.classify(request, outcome, nowMicros);
+        return attemptClassifier.classify(request, outcome, nowMicros);
     }
 
     private void completeRequest(RequestCompleted event) {
@@ -329,18 +357,21 @@
                     event.loadedInstances());
         }
         boolean existenceProven = function.history().servedRecently(nowMicros);
-        if (refusesAsUnknown(event.result()) && !existenceProven) {
+        if (isFunctionUnknown(event.result()) && !existenceProven) {
             function.circuit().addFailingInvoker(event.invoker());
             failRequestsWithoutInstance(event.function());
         }
     }
 
-    private static boolean refusesAsUnknown(ExchangeResult result) {
+    private static boolean isFunctionUnknown(ExchangeResult result) {
         return result.kind() == ExchangeResult.Kind.STATUS
                 && (result.status() == STATUS_NOT_FOUND || result.status() == STATUS_BAD_REQUEST);
     }
 
-    /** A preload refused as unknown ends the requests that found no instance, as absence does. */
+    /**
+     * Ends the open requests of a function that found no loaded instance; called after an invoker
+     * has refused to preload the function because it does not know it.
+     */
     private void failRequestsWithoutInstance(String function) {
         List<Long> failed = new ArrayList<>();
         openRequests.forEach(
--- a/src/main/java/waytrestle/responses/InFlightAttempt.java
+++ b/src/main/java/waytrestle/responses/InFlightAttempt.java
@@ -5,8 +5,8 @@
  *
  * @param concurrencyLevel how many requests of the function this controller had in flight at the
  *     invoker when the attempt was sent, this one included
- * @param aloneAtInvoker whether nothing else was in flight there: no other function and no other
- *     controller
+ * @param aloneAtInvoker whether the invoker had no other attempts in flight when the attempt was
+ *     sent, neither of other functions nor of other controllers
  */
 record InFlightAttempt(
         String function,
--- a/src/main/java/waytrestle/responses/InvokerLoadReport.java
+++ b/src/main/java/waytrestle/responses/InvokerLoadReport.java
@@ -1,21 +1,23 @@
 package waytrestle.responses;
 
-import java.util.Map;
 import waytrestle.scheduler.StartKind;
 
+import java.util.Map;
+
 /**
- * What an invoker reports of itself with a response.
+ * The state that an invoker reports of itself with a response.
  *
- * @param start what it reports of the instance; UNKNOWN if nothing
- * @param concurrentRequests requests of the function there; below 0 if not reported
- * @param metrics its load by metric name; empty if not reported
+ * @param start whether the instance was loaded for the request; UNKNOWN if not reported
+ * @param concurrentRequests number of requests of the function in flight at the invoker; negative
+ *     if not reported
+ * @param metrics load of the invoker by metric name; empty if not reported
  */
 public record InvokerLoadReport(
         StartKind start, int concurrentRequests, Map<String, Double> metrics) {
-    /** Value of concurrent requests that were not reported. */
+    /** Value of {@code concurrentRequests} if they are not reported. */
     public static final int CONCURRENCY_NOT_REPORTED = -1;
 
-    /** A report of nothing. */
+    /** A report without any values. */
     public static final InvokerLoadReport EMPTY =
             new InvokerLoadReport(StartKind.UNKNOWN, CONCURRENCY_NOT_REPORTED, Map.of());
 }
--- a/src/main/java/waytrestle/responses/InvokerRecord.java
+++ b/src/main/java/waytrestle/responses/InvokerRecord.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * What this controller knows of one invoker: its endpoint, its health, and the attempts in flight
- * there.
+ * Holds what this controller knows about one invoker: its endpoint, its health, and the attempts
+ * that this controller has in flight at it.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class InvokerRecord {
-    /** An attempt out for so long has surely reached the invoker. */
-    private static final long SURELY_ARRIVED_MICROS = 50_000;
+    /** Time after the send of an attempt from which the invoker is presumed to have received it. */
+    private static final long PRESUMED_RECEIVED_AFTER_MICROS = 50_000;
 
-    /** Time within which all requests at a process that ends lose their connection. */
+    /** Time within which all requests at a process that ends lose their connections. */
     private static final long CONNECTION_LOSS_WINDOW_MICROS = 100_000;
 
     private final OutlierDetector health = new OutlierDetector();
@@ -31,7 +31,7 @@
         return health;
     }
 
-    /** As service discovery lists it; null while it is not listed. */
+    /** Returns the endpoint as service discovery lists it; null while it is not listed. */
     InvokerEndpoint endpoint() {
         return endpoint;
     }
@@ -44,7 +44,10 @@
         return endpoint != null && endpoint.state() == EndpointState.READY;
     }
 
-    /** Counts a new attempt in; its concurrency level is how many of the function it makes. */
+    /**
+     * Records a new attempt and returns its concurrency level: the number of attempts of the
+     * function that are in flight at the invoker, the new one included.
+     */
     int addAttempt(AttemptKey key, String function, long nowMicros) {
         sentAtMicros.put(key, nowMicros);
         return inFlightByFunction.merge(function, 1, Integer::sum);
@@ -56,40 +59,46 @@
                 function, (name, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** Attempts of this controller that are in flight here. */
+    /** Returns the number of attempts of this controller in flight at the invoker. */
     int attemptsInFlight() {
         return sentAtMicros.size();
     }
 
-    /** Attempts in flight that the invoker must have received by now. */
+    /** Returns the number of attempts in flight that the invoker is presumed to have received. */
     int attemptsPresumedReceived(long nowMicros) {
-        int arrived = 0;
+        int received = 0;
         for (long sentAt : sentAtMicros.values()) {
-            if (sentAt < nowMicros - SURELY_ARRIVED_MICROS) {
-                arrived++;
+            if (sentAt < nowMicros - PRESUMED_RECEIVED_AFTER_MICROS) {
+                received++;
             }
         }
-        return arrived;
+        return received;
     }
 
-    /** The number of entries held for attempts in flight. */
+    /** Returns the number of entries held for attempts in flight. */
     int retainedEntries() {
         return inFlightByFunction.size() + sentAtMicros.size();
     }
 
-    /** An attempt lost its connection. */
+    /** Records that an attempt lost its connection. */
     void addConnectionLoss(long nowMicros) {
         connectionLosses = recentConnectionLosses(nowMicros) + 1;
         lastConnectionLossMicros = nowMicros;
     }
 
-    /** Attempts that lost their connection together with the last one, just now. */
+    /**
+     * Returns the number of attempts that lost their connections in a row, each within {@link
+     * #CONNECTION_LOSS_WINDOW_MICROS} of the one before; 0 if the last one is longer ago.
+     */
     int recentConnectionLosses(long nowMicros) {
         boolean recent = nowMicros - lastConnectionLossMicros < CONNECTION_LOSS_WINDOW_MICROS;
         return recent ? connectionLosses : 0;
     }
 
-    /** An endpoint of this invoker as the scheduler is to see it: draining while it is ejected. */
+    /**
+     * Returns the listed endpoint in the state shown to the scheduler: draining instead of ready
+     * while the invoker is ejected.
+     */
     InvokerEndpoint endpointForScheduler(InvokerEndpoint listed) {
         if (!health.isEjected() || listed.state() != EndpointState.READY) {
             return listed;
@@ -104,7 +113,7 @@
                 listed.startedAtMicros());
     }
 
-    /** Marks the process behind the endpoint as started now. */
+    /** Sets the start time of the endpoint to now; the invoker must be listed. */
     void markRestarted(long nowMicros) {
         endpoint =
                 new InvokerEndpoint(
--- a/src/main/java/waytrestle/responses/InvokerTable.java
+++ b/src/main/java/waytrestle/responses/InvokerTable.java
@@ -7,19 +7,19 @@
 import java.util.function.Consumer;
 
 /**
- * The records of all invokers by id, in the order in which they were first seen.
+ * Holds the records of all invokers by id, in the order in which they were first seen.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class InvokerTable {
     private final Map<String, InvokerRecord> invokers = new LinkedHashMap<>();
 
-    /** The record of an invoker, or null. */
+    /** Returns the record of an invoker; null if there is none. */
     InvokerRecord find(String invoker) {
         return invokers.get(invoker);
     }
 
-    /** The record of an invoker, new if there was none. */
+    /** Returns the record of an invoker, after adding an empty one if there was none. */
     InvokerRecord findOrAdd(String invoker) {
         return invokers.computeIfAbsent(invoker, id -> new InvokerRecord());
     }
@@ -32,7 +32,10 @@
         invokers.forEach(action);
     }
 
-    /** Removes invokers that are neither listed nor have attempts in flight. */
+    /**
+     * Removes invokers that are not listed and have no attempts in flight, and passes the id of
+     * each to the consumer.
+     */
     void removeGone(Consumer<String> onRemoved) {
         invokers.entrySet()
                 .removeIf(
@@ -47,7 +50,9 @@
                         });
     }
 
-    /** How many invokers service discovery lists as ready, ejected ones included. */
+    /**
+     * Returns the number of invokers that service discovery lists as ready, ejected ones included.
+     */
     int readyCount() {
         int ready = 0;
         for (InvokerRecord invoker : invokers.values()) {
@@ -59,10 +64,10 @@
     }
 
     long ejectedCount() {
-        return invokers.values().stream().filter(each -> each.health().isEjected()).count();
+        return invokers.values().stream().filter(invoker -> invoker.health().isEjected()).count();
     }
 
-    /** The number of entries held for attempts in flight. */
+    /** Returns the number of entries held for attempts in flight. */
     int retainedEntries() {
         return invokers.values().stream().mapToInt(InvokerRecord::retainedEntries).sum();
     }
--- a/src/main/java/waytrestle/responses/LatencyBaseline.java
+++ b/src/main/java/waytrestle/responses/LatencyBaseline.java
@@ -1,34 +1,38 @@
 package waytrestle.responses;
 
 /**
- * The usual latency of a function's quicker responses, and its usual load time. A quantile and not
- * a mean, since responses that waited for a load or in a queue must not pass for mere runs,
- * whatever an invoker reports of them.
+ * Estimates the usual run time of a function, from the latencies of its faster responses, and its
+ * usual load time. The run time is a low quantile of the latencies and not their mean, so that
+ * responses that waited for a load or in a queue hardly raise it, whatever start kind an invoker
+ * reports.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class LatencyBaseline {
-    /** Quantile of the latencies taken for a run without waiting. */
+    /** Quantile of the latencies that is taken as the time of a run without waiting. */
     private static final double RUN_QUANTILE = 0.3;
 
-    /** Share of the value by which a response moves it: tens of responses settle it. */
+    /**
+     * Final step size of the quantile estimate as a share of the run time; the estimate settles
+     * within tens of responses.
+     */
     private static final double STEP_SHARE = 0.08;
 
-    /** Responses in which the step falls to its final size. */
+    /** Number of responses over which the step falls to its final size. */
     private static final double SETTLING_RESPONSES = 10.0;
 
-    /** Weight of a load time: few loads are measured. */
+    /** Weight of one measured load time in the average; high, because few loads are measured. */
     private static final double LOAD_EWMA_WEIGHT = 0.2;
 
-    /** Responses before the run time is used. */
+    /** Responses needed before the run time is used. */
     private static final int MIN_RESPONSES = 8;
 
     private double runMicros;
     private double loadMicros;
     private int responses;
-    private int loads;
+    private int measuredLoads;
 
-    /** Takes in the latency of a served response. */
+    /** Records the latency of a served response. */
     void addResponse(long latencyMicros) {
         responses++;
         if (responses == 1) {
@@ -44,33 +48,33 @@
         runMicros = Math.max(1, runMicros);
     }
 
-    /** Takes in a measured load time. */
+    /** Records a measured load time. */
     void addLoad(long elapsedMicros) {
-        if (loads == 0) {
+        if (measuredLoads == 0) {
             loadMicros = elapsedMicros;
         } else {
             loadMicros += LOAD_EWMA_WEIGHT * (elapsedMicros - loadMicros);
         }
-        loads++;
+        measuredLoads++;
     }
 
-    /** Whether there were responses enough to go by the run time. */
+    /** Returns whether there were enough responses to use the run time. */
     boolean isKnown() {
         return responses >= MIN_RESPONSES;
     }
 
-    /** Usual time of a run without waiting. */
+    /** Returns the usual time of a run without waiting. */
     double runMicros() {
         return runMicros;
     }
 
-    /** Loads measured so far. */
+    /** Returns the number of measured loads. */
     int measuredLoads() {
-        return loads;
+        return measuredLoads;
     }
 
-    /** Measured load time, or the declared one while none was measured. */
+    /** Returns the average measured load time, or the declared one if no load was measured. */
     double loadMicros(long declaredMicros) {
-        return loads > 0 ? loadMicros : declaredMicros;
+        return measuredLoads > 0 ? loadMicros : declaredMicros;
     }
 }
--- a/src/main/java/waytrestle/responses/LeastRecentlyUsedMap.java
+++ b/src/main/java/waytrestle/responses/LeastRecentlyUsedMap.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * A map by name that holds a bounded number of entries; the least recently used one is evicted. A
- * look-up counts as a use.
+ * A map with string keys and a bounded number of entries: adding an entry above the bound evicts
+ * the least recently used one. A look-up counts as a use.
  *
  * <p>Not thread-safe.
  */
@@ -16,7 +16,7 @@
     private final Map<String, V> entries;
     private final Supplier<V> newValue;
 
-    /** An empty map that makes missing values itself. */
+    /** Creates an empty map; {@code newValue} creates the value of a missing key. */
     LeastRecentlyUsedMap(int initialCapacity, int maxEntries, Supplier<V> newValue) {
         this.newValue = newValue;
         this.entries =
@@ -28,17 +28,17 @@
                 };
     }
 
-    /** The value of a name, or null. */
-    V find(String name) {
-        return entries.get(name);
+    /** Returns the value of a key; null if there is none. */
+    V find(String key) {
+        return entries.get(key);
     }
 
-    /** The value of a name, new if there was none. */
-    V findOrAdd(String name) {
-        return entries.computeIfAbsent(name, key -> newValue.get());
+    /** Returns the value of a key, after adding a new value if there was none. */
+    V findOrAdd(String key) {
+        return entries.computeIfAbsent(key, absentKey -> newValue.get());
     }
 
-    /** All values; reading them counts as no use. */
+    /** Returns all values; iterating over them does not count as a use. */
     Iterable<V> values() {
         return entries.values();
     }
--- a/src/main/java/waytrestle/responses/OutlierEjection.java
+++ b/src/main/java/waytrestle/responses/OutlierEjection.java
@@ -11,13 +11,14 @@
 import java.util.List;
 
 /**
- * Ejects outliers for a while and readmits them: the scheduler sees an ejected invoker as draining.
- * A bounded share of the fleet is ejected at a time, and never its last invoker.
+ * Ejects outliers for a time and readmits them afterwards; an ejected invoker is draining in the
+ * endpoint lists for the scheduler. Only a bounded share of the ready invokers is ejected at a
+ * time, and never the last one.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class OutlierEjection {
-    /** Invokers that must be serving before one of them may be ejected. */
+    /** Ready invokers not ejected that are needed before one of them may be ejected. */
     private static final int MIN_INVOKERS_BEFORE_EJECTION = 2;
 
     private final InvokerTable invokers;
@@ -28,7 +29,7 @@
         this.maxEjectedShare = maxEjectedShare;
     }
 
-    /** Ejects an invoker that is an outlier by now, if the fleet can spare it. */
+    /** Ejects an invoker if it is an outlier and ready, and if the fleet can spare it. */
     void ejectIfOutlier(String id, InvokerRecord invoker, long nowMicros, Sink commands) {
         OutlierDetector health = invoker.health();
         if (health.isEjected() || !health.isOutlier(nowMicros)) {
@@ -50,7 +51,10 @@
         return ejected < maxEjected && ready - ejected >= MIN_INVOKERS_BEFORE_EJECTION;
     }
 
-    /** Readmits all invokers whose ejection is over. */
+    /**
+     * Readmits all invokers whose ejection has ended, and shows the listed ones to the scheduler in
+     * their listed state.
+     */
     void readmitExpired(long nowMicros, Sink commands) {
         invokers.forEach(
                 (id, invoker) -> {
@@ -64,7 +68,7 @@
                 });
     }
 
-    /** Readmits one invoker; the scheduler's list is left to the caller. */
+    /** Readmits one invoker; the caller updates the scheduler's endpoint list. */
     void readmit(String id, InvokerRecord invoker, long nowMicros, Sink commands) {
         invoker.health().readmit(nowMicros);
         commands.add(new ReportReadmission(id));
--- a/src/main/java/waytrestle/responses/RequestRecord.java
+++ b/src/main/java/waytrestle/responses/RequestRecord.java
@@ -8,38 +8,38 @@
 import java.util.Set;
 
 /**
- * What the attempts of one open request have shown so far.
+ * Holds the failures of the attempts of one open request.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class RequestRecord {
-    private static final int EXPECTED_FAILURES = 2;
+    private static final int INITIAL_FAILURE_CAPACITY = 2;
 
-    private final RequestStarted request;
-    private final List<String> countedFailures = new ArrayList<>(EXPECTED_FAILURES);
-    private final Set<String> invokersWithoutFunction = new HashSet<>(EXPECTED_FAILURES);
+    private final RequestStarted startEvent;
+    private final List<String> nonOutlierFailures = new ArrayList<>(INITIAL_FAILURE_CAPACITY);
+    private final Set<String> invokersWithoutFunction = new HashSet<>(INITIAL_FAILURE_CAPACITY);
     private int failures;
     private boolean countsAgainstFunction;
-    private ExchangeResult lastResult;
+    private ExchangeResult lastUnservedResult;
 
-    RequestRecord(RequestStarted request) {
-        this.request = request;
+    RequestRecord(RequestStarted startEvent) {
+        this.startEvent = startEvent;
     }
 
     RequestStarted startEvent() {
-        return request;
+        return startEvent;
     }
 
-    /** The last result other than a served response; null if there was none. */
+    /** Returns the last result that was not a served response; null if there was none. */
     ExchangeResult lastUnservedResult() {
-        return lastResult;
+        return lastUnservedResult;
     }
 
     void setLastUnservedResult(ExchangeResult result) {
-        lastResult = result;
+        lastUnservedResult = result;
     }
 
-    /** Whether a failure of this request may be held against its function. */
+    /** Returns whether a failure of the request may be attributed to its function. */
     boolean countsAgainstFunction() {
         return countsAgainstFunction;
     }
@@ -48,40 +48,42 @@
         countsAgainstFunction = true;
     }
 
-    /** An invoker does not know the function; each invoker counts once. */
+    /** Records an invoker that does not know the function; each invoker counts once. */
     void addInvokerWithoutFunction(String invoker) {
         invokersWithoutFunction.add(invoker);
     }
 
-    /** How many invokers do not know the function. */
+    /** Returns the number of invokers that do not know the function. */
     int invokersWithoutFunction() {
         return invokersWithoutFunction.size();
     }
 
-    /** Adds a failure of any invoker, suspected of a fault or not. */
+    /** Counts a failure at any invoker, outlier or not. */
     void addFailure() {
         failures++;
     }
 
-    /** Adds what a failure at an invoker under no suspicion looked like. */
+    /** Records the result text of a failure at an invoker that is no outlier. */
     void addNonOutlierFailure(String result) {
         countsAgainstFunction = true;
-        countedFailures.add(result);
+        nonOutlierFailures.add(result);
     }
 
-    /** All failures, those at suspected invokers included. */
+    /** Returns the number of failures at all invokers, outliers included. */
     int failures() {
         return failures;
     }
 
-    /** How many of the counted failures looked like this one. */
+    /**
+     * Returns the number of failures with the given result text at invokers that are no outliers.
+     */
     int nonOutlierFailuresWithResult(String result) {
-        int alike = 0;
-        for (String failure : countedFailures) {
+        int matching = 0;
+        for (String failure : nonOutlierFailures) {
             if (failure.equals(result)) {
-                alike++;
+                matching++;
             }
         }
-        return alike;
+        return matching;
     }
 }
--- a/src/main/java/waytrestle/responses/ResponseKind.java
+++ b/src/main/java/waytrestle/responses/ResponseKind.java
@@ -3,32 +3,33 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * What a response says, apart from whom it is held against. The statuses are those of HTTP (RFC
- * 9110) as servers of the Open Inference Protocol use them; docs/invokers.md has the table for
- * authors of invokers.
+ * The kinds of results of an exchange with an invoker, regardless of whether a failure is
+ * attributed to the function or to the invoker. The statuses are those of HTTP (RFC 9110) as
+ * servers of the Open Inference Protocol use them; docs/invokers.md has the table for authors of
+ * invokers.
  */
 enum ResponseKind {
     /** The function ran and responded. */
     SERVED(ResponseCode.OK),
-    /** The function rejected the request: it would do so anywhere. */
+    /** The function rejected the request, and would at any invoker. */
     REJECTED(ResponseCode.REJECTED),
-    /** The function is not loaded there, or is not known at all. */
+    /** The function is not loaded at the invoker, or not known to it. */
     NOT_LOADED(ResponseCode.NOT_LOADED),
     /** The invoker had no capacity. */
     FULL(ResponseCode.FULL),
-    /** The function or its server failed, and says so. */
+    /** The function or its server reported a failure. */
     ERROR(ResponseCode.ERROR),
-    /** What came is no response of the protocol. */
+    /** What the invoker sent is not a valid response of the protocol. */
     MALFORMED(ResponseCode.ERROR),
-    /** The connection broke with the request on it. */
+    /** The connection broke after the first byte of the request was sent. */
     CONNECTION_LOST(ResponseCode.RESET),
-    /** Nothing came within the time given. */
+    /** No response arrived within the time limit. */
     TIMEOUT(ResponseCode.TIMEOUT),
     /** No connection could be made. */
     CONNECT_FAILED(ResponseCode.CONNECT_FAILED),
     /** Cancelled by this controller. */
     CANCELLED(ResponseCode.CANCELLED),
-    /** Withheld by this controller. */
+    /** Withheld by this controller before anything was sent. */
     NOT_SENT(ResponseCode.NOT_SENT);
 
     private static final int FIRST_CLIENT_ERROR = 400;
@@ -41,7 +42,7 @@
         this.code = code;
     }
 
-    /** The scheduler's code of it. */
+    /** Returns the scheduler's response code for the kind. */
     ResponseCode code() {
         return code;
     }
@@ -64,9 +65,9 @@
         return switch (status) {
             case 404 -> NOT_LOADED;
             case 429, 503 -> FULL;
-            // Not supported: says so of the request, not of the moment.
+            // Not implemented: the request itself is not supported, now or later.
             case 501 -> REJECTED;
-            // Between this gateway and the server, not about the request.
+            // About the connection between this gateway and the server, not about the request.
             case 407, 408, 421, 425 -> MALFORMED;
             default -> ofStatusClass(status);
         };
@@ -79,12 +80,12 @@
         return status < FIRST_SERVER_ERROR ? REJECTED : ERROR;
     }
 
-    /** Whether it counts as a failure of the function or of the invoker. */
+    /** Returns whether the kind counts as a failure of the function or of the invoker. */
     boolean isFailure() {
         return this == ERROR || this == MALFORMED || this == CONNECTION_LOST;
     }
 
-    /** Whether it is a response of the invoker that may carry a load report. */
+    /** Returns whether the kind is a response of the invoker, which may carry a load report. */
     boolean isInvokerResponse() {
         return switch (this) {
             case SERVED, REJECTED, NOT_LOADED, FULL, ERROR -> true;
--- a/src/main/java/waytrestle/responses/UnattributedFailures.java
+++ b/src/main/java/waytrestle/responses/UnattributedFailures.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Failures of one function that are not yet held against anybody: they may be the function's or
- * their invokers'.
+ * Counts, for each invoker, the failures of one function that are attributed to neither the
+ * function nor the invoker yet.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class UnattributedFailures {
-    /** Failures counted of one invoker: more prove no more. */
+    /** Highest number of failures counted for one invoker; more would be no stronger evidence. */
     private static final int MAX_FAILURES_PER_INVOKER = 3;
 
     private static final int MAX_INVOKERS = ResponseHistory.MAX_INVOKERS;
@@ -20,7 +20,9 @@
     void add(String invoker) {
         if (byInvoker.size() < MAX_INVOKERS || byInvoker.containsKey(invoker)) {
             byInvoker.merge(
-                    invoker, 1, (one, two) -> Math.min(one + two, MAX_FAILURES_PER_INVOKER));
+                    invoker,
+                    1,
+                    (count, added) -> Math.min(count + added, MAX_FAILURES_PER_INVOKER));
         }
     }
 
@@ -28,7 +30,9 @@
         byInvoker.clear();
     }
 
-    /** Takes out the failures, by invoker, of all invokers but this one. */
+    /**
+     * Removes the failures at all invokers but the given one and returns their numbers by invoker.
+     */
     Map<String, Integer> takeAllExcept(String invoker) {
         if (byInvoker.isEmpty()) {
             return Map.of();
--- a/src/main/java/waytrestle/responses/package-info.java
+++ b/src/main/java/waytrestle/responses/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Classifies responses: decides what the end of an attempt says of the request, of the function and
- * of the invoker, each apart.
+ * Classifies responses: decides what the end of an attempt means for the request, for the function
+ * and for the invoker, each separately.
  *
- * <p>{@link waytrestle.responses.ResponseClassifier} is the interface, with {@link
- * waytrestle.responses.ClassifierEvent} in and {@link waytrestle.responses.ClassifierCommand} out;
- * {@link waytrestle.responses.HealthTrackingClassifier} is the implementation that serves. The
- * package is free of I/O, clocks and threads: everything in it belongs to the event loop of its
- * controller.
+ * <p>{@link waytrestle.responses.ResponseClassifier} is the interface; it receives {@link
+ * waytrestle.responses.ClassifierEvent}s and returns {@link
+ * waytrestle.responses.ClassifierCommand}s. {@link waytrestle.responses.HealthTrackingClassifier}
+ * is the implementation that the gateway uses. The package does no I/O, reads no clock and starts
+ * no threads: its objects are used only by the event loop of their controller.
  */
 package waytrestle.responses;
