--- a/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
+++ b/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import static waytrestle.responses.ClassifierFixture.MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.startReport;
 
@@ -16,11 +16,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What of the reports of invokers is believed. */
+/** Tests which reports of invokers are passed on and which are replaced as unknown. */
 class CapabilityVerifierTest {
-    private static final long RUN = 10 * MILLISECOND;
-    private static final long LOAD_AND_RUN = 110 * MILLISECOND;
-    private static final int RESPONSES_THAT_SETTLE = 20;
+    private static final long RUN_MICROS = 10 * MICROS_PER_MILLISECOND;
+    private static final long LOAD_AND_RUN_MICROS = 110 * MICROS_PER_MILLISECOND;
+    private static final int RESPONSES_FOR_KNOWN_RUN_TIME = 20;
 
     private final ClassifierFixture fixture = new ClassifierFixture();
 
@@ -29,7 +29,7 @@
         fixture.handle(readyInvokers(2));
     }
 
-    private StartKind believedStart(
+    private StartKind verifiedStart(
             String function, String invoker, long latencyMicros, StartKind reported) {
         return fixture.serveRequest(function, invoker, latencyMicros, startReport(reported))
                 .start();
@@ -37,19 +37,20 @@
 
     private void serveWithPlausibleReports() {
         Map<String, Double> metrics = Map.of("inflight", 2.0, "queue", 1.0);
-        for (int i = 0; i < RESPONSES_THAT_SETTLE; i++) {
-            fixture.serveRequest("f", "i0", RUN, new InvokerLoadReport(StartKind.WARM, 0, metrics));
+        for (int i = 0; i < RESPONSES_FOR_KNOWN_RUN_TIME; i++) {
+            fixture.serveRequest(
+                    "f", "i0", RUN_MICROS, new InvokerLoadReport(StartKind.WARM, 0, metrics));
         }
     }
 
-    private void serveWarm() {
-        for (int i = 0; i < RESPONSES_THAT_SETTLE; i++) {
-            assertEquals(StartKind.WARM, believedStart("f", "i0", RUN, StartKind.WARM));
+    private void serveWarmStarts() {
+        for (int i = 0; i < RESPONSES_FOR_KNOWN_RUN_TIME; i++) {
+            assertEquals(StartKind.WARM, verifiedStart("f", "i0", RUN_MICROS, StartKind.WARM));
         }
     }
 
     @Test
-    void aLoadReportThatCannotBeTrueIsDropped() {
+    void implausibleLoadReportIsReplacedByEmptyMetrics() {
         serveWithPlausibleReports();
         List<Map<String, Double>> impossible =
                 List.of(
@@ -59,27 +60,28 @@
                         Map.of("inflight", 1.0, "queue", 9.0));
         for (Map<String, Double> metrics : impossible) {
             InvokerLoadReport report = new InvokerLoadReport(StartKind.WARM, -1, metrics);
-            InvokerLoadReport believed = fixture.serveRequest("f", "i1", RUN, report);
-            assertEquals(Map.of(), believed.metrics(), metrics.toString());
+            InvokerLoadReport verified = fixture.serveRequest("f", "i1", RUN_MICROS, report);
+            assertEquals(Map.of(), verified.metrics(), metrics.toString());
         }
     }
 
     @Test
-    void aConcurrencyAboveTheReportedLoadIsDropped() {
+    void concurrencyAboveReportedRequestsInFlightIsReplacedByNotReported() {
         serveWithPlausibleReports();
         Map<String, Double> metrics = Map.of("inflight", 2.0);
         InvokerLoadReport tooMany = new InvokerLoadReport(StartKind.WARM, 90, metrics);
-        assertEquals(-1, fixture.serveRequest("f", "i0", RUN, tooMany).concurrentRequests());
+        assertEquals(-1, fixture.serveRequest("f", "i0", RUN_MICROS, tooMany).concurrentRequests());
         InvokerLoadReport plausible = new InvokerLoadReport(StartKind.WARM, 2, metrics);
-        assertEquals(2, fixture.serveRequest("f", "i0", RUN, plausible).concurrentRequests());
+        assertEquals(
+                2, fixture.serveRequest("f", "i0", RUN_MICROS, plausible).concurrentRequests());
     }
 
     @Test
-    void aStartThatTheLatencyRefutesIsUnknown() {
-        serveWarm();
-        assertEquals(StartKind.UNKNOWN, believedStart("f", "i0", RUN, StartKind.COLD));
-        assertEquals(StartKind.COLD, believedStart("f", "i1", LOAD_AND_RUN, StartKind.COLD));
-        assertEquals(StartKind.UNKNOWN, believedStart("g", "i1", RUN, StartKind.UNKNOWN));
+    void coldStartWithLatencyOfWarmStartBecomesUnknownAndCountsAsRefuted() {
+        serveWarmStarts();
+        assertEquals(StartKind.UNKNOWN, verifiedStart("f", "i0", RUN_MICROS, StartKind.COLD));
+        assertEquals(StartKind.COLD, verifiedStart("f", "i1", LOAD_AND_RUN_MICROS, StartKind.COLD));
+        assertEquals(StartKind.UNKNOWN, verifiedStart("g", "i1", RUN_MICROS, StartKind.UNKNOWN));
         Map<String, Long> refutedCounts = new HashMap<>();
         fixture.classifier.forEachCapability(
                 (invoker, capability, unreported, confirmed, refuted) ->
@@ -88,14 +90,17 @@
     }
 
     @Test
-    void anInvokerWhoseStartsAreOftenRefutedIsWarnedOfAndNoLongerBelieved() {
-        serveWarm();
+    void oftenRefutedStartsLeadToOneWarningAndUnknownStarts() {
+        serveWarmStarts();
         for (int i = 0; i < 31; i++) {
-            believedStart("f", "i0", RUN, StartKind.COLD);
+            verifiedStart("f", "i0", RUN_MICROS, StartKind.COLD);
         }
         WarnOfMissingCapability warning =
                 new WarnOfMissingCapability("i0", DeclaredCapability.START, false);
-        assertEquals(List.of(warning), fixture.warningsOf(DeclaredCapability.START), "once");
-        assertEquals(StartKind.UNKNOWN, believedStart("f", "i0", RUN, StartKind.WARM));
+        assertEquals(
+                List.of(warning),
+                fixture.warningsOf(DeclaredCapability.START),
+                "exactly one warning");
+        assertEquals(StartKind.UNKNOWN, verifiedStart("f", "i0", RUN_MICROS, StartKind.WARM));
     }
 }
--- a/src/test/java/waytrestle/responses/ClassifierFixture.java
+++ b/src/test/java/waytrestle/responses/ClassifierFixture.java
@@ -23,10 +23,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A classifier of one controller with a clock of its own, and the commands of its last event. */
+/**
+ * Drives a classifier of one controller with a simulated clock, and holds the commands that the
+ * last event led to.
+ */
 final class ClassifierFixture {
-    static final long MILLISECOND = 1_000;
-    static final long SECOND = 1_000_000;
+    static final long MICROS_PER_MILLISECOND = 1_000;
+    static final long MICROS_PER_SECOND = 1_000_000;
     static final int DECLARED_CONCURRENCY = 2;
     static final ExchangeResult SERVED = ExchangeResult.of(Kind.RESPONSE);
     static final ExchangeResult CONNECTION_LOST = ExchangeResult.of(Kind.CONNECTION_LOST);
@@ -36,9 +39,9 @@
     static final ExchangeResult NOT_FOUND = new ExchangeResult(Kind.STATUS, 404);
     static final ExchangeResult FULL = new ExchangeResult(Kind.STATUS, 503);
 
-    private static final long LATENCY = 10 * MILLISECOND;
+    private static final long LATENCY_MICROS = 10 * MICROS_PER_MILLISECOND;
 
-    /** What an invoker responds to an attempt. */
+    /** The result of an attempt at an invoker. */
     record Response(String invoker, ExchangeResult result) {}
 
     final HealthTrackingClassifier classifier =
@@ -46,17 +49,27 @@
                     settings(100), preloading(false), LoadReportSource.RESPONSES, 1);
     private final List<ClassifierCommand> commands = new ArrayList<>();
     private final List<WarnOfMissingCapability> warnings = new ArrayList<>();
-    private long nowMicros = SECOND;
-    private long requests;
+    private long nowMicros = MICROS_PER_SECOND;
+    private long lastRequestId;
 
     static HealthTrackingClassifier.Settings settings(int maxFunctions) {
         return new HealthTrackingClassifier.Settings(
-                2, 2, 0.3, 5, 250 * MILLISECOND, 2 * SECOND, maxFunctions);
+                2, 2, 0.3, 5, 250 * MICROS_PER_MILLISECOND, 2 * MICROS_PER_SECOND, maxFunctions);
     }
 
     static Preloading preloading(boolean reportsNotLoaded) {
         return new Preloading(
-                reportsNotLoaded, true, true, true, 10 * SECOND, SECOND, 0, 0, 0, 0, List.of(1e4));
+                reportsNotLoaded,
+                true,
+                true,
+                true,
+                10 * MICROS_PER_SECOND,
+                MICROS_PER_SECOND,
+                0,
+                0,
+                0,
+                0,
+                List.of(1e4));
     }
 
     static Response response(String invoker, ExchangeResult result) {
@@ -88,11 +101,14 @@
     }
 
     long newRequestId() {
-        requests++;
-        return requests;
+        lastRequestId++;
+        return lastRequestId;
     }
 
-    /** Handles an event; the commands of the one before are dropped. */
+    /**
+     * Lets the classifier handle an event at the time of the clock; the commands of earlier events
+     * are dropped.
+     */
     void handle(ClassifierEvent event) {
         commands.clear();
         classifier.handle(nowMicros, event, this::record);
@@ -105,26 +121,35 @@
         }
     }
 
-    /** All warnings of one declared capability so far. */
+    /** Returns all warnings of one declared capability so far. */
     List<WarnOfMissingCapability> warningsOf(DeclaredCapability capability) {
-        return warnings.stream().filter(each -> each.capability() == capability).toList();
+        return warnings.stream().filter(warning -> warning.capability() == capability).toList();
     }
 
     void startRequest(long requestId, String function) {
         handle(new RequestStarted(requestId, function, DECLARED_CONCURRENCY, 0, 0));
     }
 
-    /** The first command of this type that the last event led to, or null. */
+    /**
+     * Returns the first command of the given type that the last event led to; null if there is
+     * none.
+     */
     <T extends ClassifierCommand> T firstCommand(Class<T> type) {
         return commands.stream().filter(type::isInstance).map(type::cast).findFirst().orElse(null);
     }
 
-    /** State of the first endpoint of the list that the scheduler was sent. */
-    EndpointState firstVisibleState() {
+    /**
+     * Returns the state of the first endpoint in the list that the last event sent to the
+     * scheduler.
+     */
+    EndpointState firstEndpointStateForScheduler() {
         return firstCommand(UpdateEndpoints.class).update().entries().get(0).state();
     }
 
-    /** Sends an attempt and lets it end; null where it was withheld. */
+    /**
+     * Requests an attempt and completes it after the latency. Returns its classification; null if
+     * the attempt was withheld.
+     */
     Classification runAttempt(
             AttemptKey attempt, Response response, long latencyMicros, InvokerLoadReport report) {
         long requestId = attempt.requestId();
@@ -139,8 +164,9 @@
     }
 
     /**
-     * A whole request with attempts until a classification ends it; null where it was not admitted.
-     * The commands are those of the last attempt and of the request's end.
+     * Runs a request with one attempt per response, until a classification ends the request.
+     * Returns the last classification; null if the request was not admitted. The commands held
+     * afterwards are those of the last attempt and of the end of the request.
      */
     Classification runRequest(String function, Response... responses) {
         long requestId = newRequestId();
@@ -151,7 +177,8 @@
         Classification classification = null;
         for (int i = 0; i < responses.length; i++) {
             AttemptKey attempt = new AttemptKey(requestId, i);
-            classification = runAttempt(attempt, responses[i], LATENCY, InvokerLoadReport.EMPTY);
+            classification =
+                    runAttempt(attempt, responses[i], LATENCY_MICROS, InvokerLoadReport.EMPTY);
             if (classification != null && classification.endsRequest()) {
                 break;
             }
@@ -165,15 +192,21 @@
         return classification;
     }
 
-    /** A served request with one attempt; what was believed of its report. */
+    /** Runs a request with one served attempt and returns the trusted part of its load report. */
     InvokerLoadReport serveRequest(
             String function, String invoker, long latencyMicros, InvokerLoadReport report) {
         long requestId = newRequestId();
-        handle(new RequestStarted(requestId, function, DECLARED_CONCURRENCY, 100 * MILLISECOND, 0));
+        handle(
+                new RequestStarted(
+                        requestId,
+                        function,
+                        DECLARED_CONCURRENCY,
+                        100 * MICROS_PER_MILLISECOND,
+                        0));
         AttemptKey attempt = new AttemptKey(requestId, 0);
         runAttempt(attempt, response(invoker, SERVED), latencyMicros, report);
-        InvokerLoadReport believed = firstCommand(CompleteAttempt.class).loadReport();
+        InvokerLoadReport verified = firstCommand(CompleteAttempt.class).loadReport();
         handle(new RequestCompleted(requestId, true));
-        return believed;
+        return verified;
     }
 }
--- a/src/test/java/waytrestle/responses/FunctionCircuitTest.java
+++ b/src/test/java/waytrestle/responses/FunctionCircuitTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import static waytrestle.responses.ClassifierFixture.ERROR;
-import static waytrestle.responses.ClassifierFixture.MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.response;
@@ -19,73 +19,82 @@
 
 import java.util.Random;
 
-/** When requests of a function that fails everywhere are rejected, and when they are not. */
+/** Tests when the circuit of a function opens, admits probes and closes. */
 class FunctionCircuitTest {
-    private static final int FAILURES_THAT_OPEN = 5;
-    private static final long AFTER_FIRST_PAUSE = 260 * MILLISECOND;
-    private static final long FIRST_PROBE = 900;
-    private static final long SECOND_PROBE = 902;
+    private static final int FAILED_REQUESTS_TO_OPEN = 5;
+    private static final long AFTER_FIRST_PAUSE_MICROS = 260 * MICROS_PER_MILLISECOND;
+    private static final long FIRST_PROBE_ID = 900;
+    private static final long SECOND_PROBE_ID = 902;
 
     private final ClassifierFixture fixture = new ClassifierFixture();
 
     private void openCircuit(String function) {
         fixture.handle(readyInvokers(4));
-        for (int i = 0; i < FAILURES_THAT_OPEN; i++) {
+        for (int i = 0; i < FAILED_REQUESTS_TO_OPEN; i++) {
             assertNotNull(
                     fixture.runRequest(function, response("i0", ERROR), response("i1", ERROR)));
         }
     }
 
     private void failSecondProbe(String function) {
-        fixture.startRequest(SECOND_PROBE, function);
+        fixture.startRequest(SECOND_PROBE_ID, function);
         fixture.runAttempt(
-                new AttemptKey(SECOND_PROBE, 0),
+                new AttemptKey(SECOND_PROBE_ID, 0),
                 response("i0", ERROR),
-                MILLISECOND,
+                MICROS_PER_MILLISECOND,
                 InvokerLoadReport.EMPTY);
-        fixture.handle(new RequestCompleted(SECOND_PROBE, false));
+        fixture.handle(new RequestCompleted(SECOND_PROBE_ID, false));
     }
 
     @Test
-    void requestsOfAFunctionThatFailsEverywhereAreRejectedWithItsLastResult() {
+    void openCircuitRejectsRequestsWithLastFailureResult() {
         openCircuit("f");
         assertNull(fixture.runRequest("f", response("i0", SERVED)));
         assertEquals("500", fixture.firstCommand(RejectRequest.class).lastFailureResult().text());
-        assertNotNull(fixture.runRequest("g", response("i0", SERVED)), "others go on");
+        assertNotNull(
+                fixture.runRequest("g", response("i0", SERVED)),
+                "a request of another function is admitted");
         assertEquals(1, fixture.classifier.openCircuits());
     }
 
     @Test
-    void afterThePauseOneRequestAtATimeIsAdmittedAsAProbe() {
+    void openCircuitAdmitsOneProbeAtATimeAfterPause() {
         openCircuit("f");
-        fixture.advance(AFTER_FIRST_PAUSE);
-        fixture.startRequest(FIRST_PROBE, "f");
-        assertNotNull(fixture.firstCommand(AdmitRequest.class), "the probe");
+        fixture.advance(AFTER_FIRST_PAUSE_MICROS);
+        fixture.startRequest(FIRST_PROBE_ID, "f");
+        assertNotNull(
+                fixture.firstCommand(AdmitRequest.class),
+                "the first request after the pause is admitted as the probe");
         fixture.startRequest(901, "f");
-        assertNotNull(fixture.firstCommand(RejectRequest.class), "one at a time");
-        fixture.handle(new RequestCompleted(FIRST_PROBE, false));
-        fixture.startRequest(SECOND_PROBE, "f");
-        assertNotNull(fixture.firstCommand(AdmitRequest.class), "the first probe showed nothing");
+        assertNotNull(
+                fixture.firstCommand(RejectRequest.class),
+                "a request during the probe is rejected");
+        fixture.handle(new RequestCompleted(FIRST_PROBE_ID, false));
+        fixture.startRequest(SECOND_PROBE_ID, "f");
+        assertNotNull(
+                fixture.firstCommand(AdmitRequest.class),
+                "a new probe is admitted after one that ended without a response of the function");
     }
 
     @Test
-    void aFailedProbeDoublesThePause() {
+    void failedProbeDoublesPause() {
         openCircuit("f");
-        fixture.advance(AFTER_FIRST_PAUSE);
+        fixture.advance(AFTER_FIRST_PAUSE_MICROS);
         failSecondProbe("f");
         fixture.startRequest(903, "f");
         assertTrue(
-                fixture.firstCommand(RejectRequest.class).retryAfterMicros() > 400 * MILLISECOND);
+                fixture.firstCommand(RejectRequest.class).retryAfterMicros()
+                        > 400 * MICROS_PER_MILLISECOND);
     }
 
     @Test
-    void aServedProbeClosesTheCircuitAndIsHeldAgainstNoInvoker() {
+    void servedProbeClosesCircuitAndEjectsNoInvoker() {
         openCircuit("f");
-        fixture.advance(AFTER_FIRST_PAUSE);
-        fixture.startRequest(FIRST_PROBE, "f");
-        fixture.handle(new RequestCompleted(FIRST_PROBE, false));
+        fixture.advance(AFTER_FIRST_PAUSE_MICROS);
+        fixture.startRequest(FIRST_PROBE_ID, "f");
+        fixture.handle(new RequestCompleted(FIRST_PROBE_ID, false));
         failSecondProbe("f");
-        fixture.advance(600 * MILLISECOND);
+        fixture.advance(600 * MICROS_PER_MILLISECOND);
         assertTrue(fixture.runRequest("f", response("i2", SERVED)).endsRequest());
         assertEquals(0, fixture.classifier.openCircuits());
         assertEquals(0, fixture.classifier.ejectedInvokers());
@@ -93,7 +102,7 @@
     }
 
     @Test
-    void aFunctionThatFailsNowAndThenAtAllInvokersStaysAdmitted() {
+    void failureShareOfThirtyPercentAtAllInvokersOpensNoCircuit() {
         fixture.handle(readyInvokers(4));
         Random random = new Random(3);
         for (int i = 0; i < 2_000; i++) {
--- a/src/test/java/waytrestle/responses/FunctionRecordTest.java
+++ b/src/test/java/waytrestle/responses/FunctionRecordTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import static waytrestle.responses.ClassifierFixture.MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 
@@ -16,10 +16,12 @@
 import waytrestle.responses.ClassifierEvent.RequestCompleted;
 import waytrestle.responses.ClassifierEvent.RequestStarted;
 
-/** How declarations of a function are corrected by its responses. */
+/**
+ * Tests how responses and preloads correct the declared concurrency and load time of a function.
+ */
 class FunctionRecordTest {
     private static final int ROUNDS = 30;
-    private static final long RUN = 10 * MILLISECOND;
+    private static final long RUN_MICROS = 10 * MICROS_PER_MILLISECOND;
 
     private final ClassifierFixture fixture = new ClassifierFixture();
 
@@ -28,9 +30,10 @@
         fixture.handle(readyInvokers(2));
     }
 
-    private void start(long firstId, int count, String function, int declared, String invoker) {
+    private void startRequests(
+            long firstId, int count, String function, int declaredConcurrency, String invoker) {
         for (int i = 0; i < count; i++) {
-            fixture.handle(new RequestStarted(firstId + i, function, declared, 0, 0));
+            fixture.handle(new RequestStarted(firstId + i, function, declaredConcurrency, 0, 0));
             fixture.handle(new AttemptRequested(firstId + i, 0, invoker));
         }
     }
@@ -40,25 +43,25 @@
         fixture.handle(new RequestCompleted(requestId, true));
     }
 
-    /** Up to six requests at once take no longer than one. */
+    /** Serves up to six requests at a time in the time of one. */
     private void serveConcurrently(int round) {
         for (int count = 1; count <= 6; count++) {
             long firstId = 10_000 + round * 100 + count * 10;
-            start(firstId, count, "wide", 2, "i0");
-            fixture.advance(RUN);
+            startRequests(firstId, count, "wide", 2, "i0");
+            fixture.advance(RUN_MICROS);
             for (int i = 0; i < count; i++) {
                 complete(firstId + i);
             }
         }
     }
 
-    /** Requests in flight together are served one after the other. */
+    /** Serves up to four requests in flight one after the other. */
     private void serveSequentially(int round) {
         for (int count = 1; count <= 4; count++) {
             long firstId = 20_000 + round * 100 + count * 10;
-            start(firstId, count, "narrow", 8, "i1");
+            startRequests(firstId, count, "narrow", 8, "i1");
             for (int i = 0; i < count; i++) {
-                fixture.advance(RUN);
+                fixture.advance(RUN_MICROS);
                 complete(firstId + i);
             }
         }
@@ -70,7 +73,12 @@
             serveSequentially(round);
             fixture.handle(
                     new PreloadCompleted(
-                            "i0", "wide", SERVED, 1, 900 * MILLISECOND, 100 * MILLISECOND));
+                            "i0",
+                            "wide",
+                            SERVED,
+                            1,
+                            900 * MICROS_PER_MILLISECOND,
+                            100 * MICROS_PER_MILLISECOND));
         }
     }
 
@@ -80,24 +88,25 @@
     }
 
     @Test
-    void aDeclaredConcurrencyIsRaisedOrLoweredToWhatResponsesShow() {
+    void declaredConcurrencyIsCorrectedToMeasuredConcurrency() {
         serveAndPreload();
-        assertEquals(6, admit(1, "wide", 2, 100 * MILLISECOND).concurrencyPerInstance());
+        assertEquals(6, admit(1, "wide", 2, 100 * MICROS_PER_MILLISECOND).concurrencyPerInstance());
         assertEquals(1, admit(2, "narrow", 8, 0).concurrencyPerInstance());
     }
 
     @Test
-    void aDeclaredLoadTimeIsCorrectedToWhatPreloadsTook() {
+    void declaredLoadTimeIsCorrectedToMeasuredPreloadTime() {
         serveAndPreload();
-        AdmitRequest admitted = admit(1, "wide", 2, 100 * MILLISECOND);
-        assertEquals(900 * MILLISECOND, admitted.loadMicros(), 10 * MILLISECOND);
+        AdmitRequest admitted = admit(1, "wide", 2, 100 * MICROS_PER_MILLISECOND);
+        assertEquals(
+                900 * MICROS_PER_MILLISECOND, admitted.loadMicros(), 10 * MICROS_PER_MILLISECOND);
     }
 
     @Test
-    void theDeclarationsOfANewFunctionHold() {
+    void functionWithoutResponsesKeepsDeclaredConcurrencyAndLoadTime() {
         serveAndPreload();
-        AdmitRequest admitted = admit(3, "new", 8, 70 * MILLISECOND);
+        AdmitRequest admitted = admit(3, "new", 8, 70 * MICROS_PER_MILLISECOND);
         assertEquals(8, admitted.concurrencyPerInstance());
-        assertEquals(70 * MILLISECOND, admitted.loadMicros());
+        assertEquals(70 * MICROS_PER_MILLISECOND, admitted.loadMicros());
     }
 }
--- a/src/test/java/waytrestle/responses/HealthTrackingClassifierPropertyTest.java
+++ b/src/test/java/waytrestle/responses/HealthTrackingClassifierPropertyTest.java
@@ -2,19 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import static waytrestle.responses.ClassifierFixture.CONNECTION_LOST;
 import static waytrestle.responses.ClassifierFixture.DECLARED_CONCURRENCY;
-import static waytrestle.responses.ClassifierFixture.SECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_SECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.ForwardAttempt;
@@ -27,12 +24,18 @@
 import waytrestle.scheduler.LoadReportSource;
 import waytrestle.scheduler.StartKind;
 
-/** What holds of the classifier whatever the order of events. */
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/** Tests invariants of the classifier for random orders of events. */
 class HealthTrackingClassifierPropertyTest {
     private static final int STEPS = 400;
     private static final int INVOKERS = 7;
     private static final int FUNCTIONS = 12;
-    private static final int REMEMBERED_FUNCTIONS = 8;
+    private static final int MAX_FUNCTIONS = 8;
     private static final int CONTROLLERS = 3;
     private static final long MAX_STEP_MICROS = 20_000;
     private static final int[] STATUSES = {200, 400, 404, 500, 503};
@@ -45,13 +48,13 @@
         final List<Long> openRequests = new ArrayList<>();
         final Map<Long, Integer> attempts = new HashMap<>();
         final List<ClassifierCommand> commands = new ArrayList<>();
-        long nowMicros = SECOND;
+        long nowMicros = MICROS_PER_SECOND;
 
         RandomEvents(Random random) {
             this.random = random;
             this.classifier =
                     new HealthTrackingClassifier(
-                            ClassifierFixture.settings(REMEMBERED_FUNCTIONS),
+                            ClassifierFixture.settings(MAX_FUNCTIONS),
                             ClassifierFixture.preloading(random.nextBoolean()),
                             LoadReportSource.RESPONSES,
                             CONTROLLERS);
@@ -135,13 +138,15 @@
     }
 
     @Property(tries = 200)
-    void everyAttemptIsClassifiedOnceEjectionsAreBoundedAndNothingIsRetained(
+    void randomEventsClassifyEachAttemptOnceWithBoundedEjectionsAndNoRetainedEntries(
             @ForAll Random random) {
         RandomEvents events = new RandomEvents(random);
         events.handle(readyInvokers(INVOKERS));
         for (int step = 0; step < STEPS; step++) {
             events.step(step);
-            assertTrue(events.classifier.ejectedInvokers() <= 2, "a third of seven");
+            assertTrue(
+                    events.classifier.ejectedInvokers() <= 2,
+                    "more than 2 of 7 invokers are ejected at a highest share of 0.3");
             events.handle(new TimerExpired());
         }
         events.completeAll();
--- a/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
+++ b/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
@@ -8,7 +8,7 @@
 import static waytrestle.responses.ClassifierFixture.ERROR;
 import static waytrestle.responses.ClassifierFixture.FULL;
 import static waytrestle.responses.ClassifierFixture.MALFORMED;
-import static waytrestle.responses.ClassifierFixture.MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.NOT_FOUND;
 import static waytrestle.responses.ClassifierFixture.REJECTED;
 import static waytrestle.responses.ClassifierFixture.SERVED;
@@ -25,12 +25,12 @@
 import waytrestle.responses.ClassifierEvent.RequestCompleted;
 import waytrestle.scheduler.ResponseCode;
 
-/** What the ends of attempts mean for their requests, and how many attempts are allowed. */
+/** Tests how the ends of attempts are classified and how the number of attempts is bounded. */
 class HealthTrackingClassifierTest {
     private final ClassifierFixture fixture = new ClassifierFixture();
 
     @Test
-    void aRejectionEndsTheRequestAtOnceAndIsHeldAgainstNobody() {
+    void rejectionEndsRequestWithoutOpeningCircuitOrEjectingInvoker() {
         fixture.handle(readyInvokers(3));
         for (int i = 0; i < 50; i++) {
             Classification rejection = fixture.runRequest("f", response("i0", REJECTED));
@@ -44,23 +44,23 @@
     }
 
     @Test
-    void aFailureEndsTheRequestWhenTwoInvokersAgreeAndNotBefore() {
+    void secondFailureWithSameResultEndsRequestAndFirstDoesNot() {
         fixture.handle(readyInvokers(3));
         assertFalse(fixture.runRequest("f", response("i0", ERROR)).endsRequest());
-        Classification agreed =
+        Classification matchingFailure =
                 fixture.runRequest("g", response("i0", ERROR), response("i1", ERROR));
-        assertTrue(agreed.endsRequest());
-        assertTrue(agreed.functionError());
-        assertEquals(ResponseCode.ERROR, agreed.code());
+        assertTrue(matchingFailure.endsRequest());
+        assertTrue(matchingFailure.functionError());
+        assertEquals(ResponseCode.ERROR, matchingFailure.code());
     }
 
     @Test
-    void failuresThatDifferEndTheRequestAtTheThirdOnly() {
+    void thirdFailureWithDifferentResultEndsRequestAndSecondDoesNot() {
         fixture.handle(readyInvokers(3));
         assertFalse(
                 fixture.runRequest("h", response("i0", ERROR), response("i1", CONNECTION_LOST))
                         .endsRequest(),
-                "they do not agree");
+                "two failures with different results do not end the request");
         assertTrue(
                 fixture.runRequest(
                                 "k",
@@ -68,11 +68,11 @@
                                 response("i1", CONNECTION_LOST),
                                 response("i2", MALFORMED))
                         .endsRequest(),
-                "yet three are enough");
+                "three failures with different results end the request");
     }
 
     @Test
-    void aFunctionIsNotFoundWhenTwoInvokersDoNotKnowIt() {
+    void notFoundResponsesOfTwoInvokersClassifyFunctionAsNotFound() {
         fixture.handle(readyInvokers(3));
         Classification notFound =
                 fixture.runRequest("f", response("i0", NOT_FOUND), response("i1", NOT_FOUND));
@@ -82,12 +82,12 @@
         assertFalse(
                 fixture.runRequest("g", response("i0", NOT_FOUND), response("i0", NOT_FOUND))
                         .endsRequest(),
-                "the same invoker counts once");
+                "two not-found responses of one invoker count once");
         assertFalse(fixture.runRequest("m", response("i0", NOT_FOUND)).endsRequest());
     }
 
     @Test
-    void aFunctionThatWasServedLatelyIsNeverNotFound() {
+    void notFoundResponsesForRecentlyServedFunctionDoNotEndRequest() {
         fixture.handle(readyInvokers(3));
         fixture.runRequest("h", response("i2", SERVED));
         assertFalse(
@@ -96,20 +96,20 @@
     }
 
     @Test
-    void aPreloadRefusedAsUnknownEndsTheRequestsThatFoundNoInstance() {
+    void preloadWithNotFoundResponseEndsRequestThatFoundNoInstance() {
         fixture.handle(readyInvokers(3));
         fixture.startRequest(800, "k");
         fixture.runAttempt(
                 new AttemptKey(800, 0),
                 response("i0", NOT_FOUND),
-                MILLISECOND,
+                MICROS_PER_MILLISECOND,
                 InvokerLoadReport.EMPTY);
-        fixture.handle(new PreloadCompleted("i0", "k", NOT_FOUND, -1, MILLISECOND, 0));
+        fixture.handle(new PreloadCompleted("i0", "k", NOT_FOUND, -1, MICROS_PER_MILLISECOND, 0));
         assertEquals(800, fixture.firstCommand(FailFunctionNotFound.class).requestId());
     }
 
     @Test
-    void attemptsOverAllRequestsAreBoundedWhateverEndsThem() {
+    void forwardedAttemptsWithFullResponsesMatchConfiguredAttemptsPerRequest() {
         fixture.handle(readyInvokers(5));
         int forwarded = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -125,10 +125,10 @@
                 }
             }
             fixture.handle(new RequestCompleted(requestId, false));
-            fixture.advance(MILLISECOND);
+            fixture.advance(MICROS_PER_MILLISECOND);
         }
         assertTrue(
                 forwarded >= 1_900 && forwarded <= 2_030,
-                forwarded + " for 1,000 requests at 2 a request");
+                forwarded + " attempts forwarded for 1,000 requests with 2 attempts per request");
     }
 }
--- a/src/test/java/waytrestle/responses/OutlierEjectionTest.java
+++ b/src/test/java/waytrestle/responses/OutlierEjectionTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import static waytrestle.responses.ClassifierFixture.ERROR;
-import static waytrestle.responses.ClassifierFixture.MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
+import static waytrestle.responses.ClassifierFixture.MICROS_PER_SECOND;
 import static waytrestle.responses.ClassifierFixture.REJECTED;
-import static waytrestle.responses.ClassifierFixture.SECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyEndpoint;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
@@ -24,11 +24,14 @@
 
 import java.util.List;
 
-/** Which invokers are ejected, for how long, and what the scheduler sees of it. */
+/** Tests which invokers are ejected, for how long, and in which state the scheduler sees them. */
 class OutlierEjectionTest {
     private final ClassifierFixture fixture = new ClassifierFixture();
 
-    /** Six of ten invokers fail; returns how many ejections were reported. */
+    /**
+     * Runs requests at ten invokers, six of which fail, and returns the number of reported
+     * ejections.
+     */
     private int ejectOutliersOfTen() {
         fixture.handle(readyInvokers(10));
         int ejections = 0;
@@ -52,51 +55,53 @@
     }
 
     @Test
-    void invokersThatAloneFailAreEjectedUpToABoundedShare() {
+    void sixOutliersOfTenInvokersLeadToThreeEjections() {
         assertEquals(3, ejectOutliersOfTen());
         assertEquals(3, fixture.classifier.ejectedInvokers());
         assertEquals(0, fixture.classifier.openCircuits());
     }
 
     @Test
-    void anEjectionEndsAfterItsTimeAndTheNextOneIsLonger() {
+    void expiredEjectionReadmitsInvokerAndNextEjectionIsLonger() {
         ejectOutliersOfTen();
-        fixture.advance(4 * SECOND);
+        fixture.advance(4 * MICROS_PER_SECOND);
         fixture.handle(new TimerExpired());
         assertEquals(0, fixture.classifier.ejectedInvokers());
-        assertEquals(EndpointState.READY, fixture.firstVisibleState());
+        assertEquals(EndpointState.READY, fixture.firstEndpointStateForScheduler());
         fixture.runRequest("new", response("i0", ERROR), response("i7", SERVED));
         ReportEjection ejection = fixture.firstCommand(ReportEjection.class);
-        assertNotNull(ejection, "ejected again");
-        assertTrue(ejection.durationMicros() > 5 * SECOND, "and for longer");
+        assertNotNull(ejection, "one failure after the readmission ejects the invoker again");
+        assertTrue(
+                ejection.durationMicros() > 5 * MICROS_PER_SECOND,
+                "the second ejection is longer than the first of 3 s");
     }
 
     @Test
-    void anEjectedInvokerDrainsInEveryEndpointList() {
+    void ejectedInvokerIsDrainingInNextEndpointSnapshot() {
         ejectFirstOfFour();
         fixture.handle(readyInvokers(4));
-        assertEquals(EndpointState.DRAINING, fixture.firstVisibleState());
+        assertEquals(EndpointState.DRAINING, fixture.firstEndpointStateForScheduler());
     }
 
     @Test
-    void aRestartEndsTheEjection() {
+    void restartOfEjectedInvokerEndsEjection() {
         ejectFirstOfFour();
         fixture.handle(readyInvokers(4));
         InvokerEndpoint restarted = readyEndpoint("i0", fixture.nowMicros());
         fixture.handle(
                 new EndpointListReceived(new EndpointsUpdated(false, false, List.of(restarted))));
-        assertEquals(EndpointState.READY, fixture.firstVisibleState());
+        assertEquals(EndpointState.READY, fixture.firstEndpointStateForScheduler());
     }
 
     @Test
-    void aFailingFunctionAndAFailingInvokerAreDistinguished() {
+    void failingFunctionOpensCircuitAndFailingInvokerIsEjected() {
         fixture.handle(readyInvokers(6));
         for (int i = 0; i < 40; i++) {
             String working = "i" + (1 + i % 5);
             String nextWorking = "i" + (1 + (i + 1) % 5);
             fixture.runRequest("failing", response(working, ERROR), response(nextWorking, ERROR));
             fixture.runRequest("f" + i % 5, response("i0", ERROR), response(working, SERVED));
-            fixture.advance(20 * MILLISECOND);
+            fixture.advance(20 * MICROS_PER_MILLISECOND);
         }
         assertEquals(1, fixture.classifier.openCircuits());
         assertEquals(1, fixture.classifier.ejectedInvokers());
@@ -104,22 +109,22 @@
     }
 
     @Test
-    void anInvokerThatRejectsWhatOthersServeIsEjectedYetBadInputEjectsNone() {
+    void unsharedRejectionsEjectInvokerAndSharedRejectionsEjectNone() {
         fixture.handle(readyInvokers(4));
         for (int i = 0; i < 60; i++) {
             fixture.runRequest("f", response("i" + i % 4, SERVED));
         }
         for (int i = 0; i < 60; i++) {
             fixture.runRequest("f", response("i" + i % 4, i % 4 == 0 ? REJECTED : SERVED));
-            fixture.advance(20 * MILLISECOND);
+            fixture.advance(20 * MICROS_PER_MILLISECOND);
         }
         assertEquals(1, fixture.classifier.ejectedInvokers());
-        fixture.advance(60 * SECOND);
+        fixture.advance(60 * MICROS_PER_SECOND);
         fixture.handle(new TimerExpired());
         for (int i = 0; i < 400; i++) {
             fixture.runRequest("g", response("i" + i % 4, i > 100 ? REJECTED : SERVED));
-            fixture.advance(5 * MILLISECOND);
+            fixture.advance(5 * MICROS_PER_MILLISECOND);
         }
-        assertEquals(0, fixture.classifier.ejectedInvokers(), "all reject: it is the input");
+        assertEquals(0, fixture.classifier.ejectedInvokers(), "all invokers reject the input");
     }
 }
