--- a/src/main/java/waytrestle/controller/ControllerListener.java
+++ b/src/main/java/waytrestle/controller/ControllerListener.java
@@ -1,5 +1,6 @@
 package waytrestle.controller;
 
+import java.util.Collection;
 import waytrestle.requests.PendingRequests;
 import waytrestle.requests.RequestHandler.IncomingRequest;
 import waytrestle.requests.SendGuard;
@@ -8,8 +9,6 @@
 import waytrestle.scheduler.ResponseCode;
 import waytrestle.scheduler.SchedulerEvent;
 
-import java.util.Collection;
-
 /**
  * Observes a controller, for metrics and logs; no decision depends on it. Called on the
  * controller's event loop.
--- a/src/main/java/waytrestle/controller/InvokerOperations.java
+++ b/src/main/java/waytrestle/controller/InvokerOperations.java
@@ -1,5 +1,7 @@
 package waytrestle.controller;
 
+import java.util.Map;
+import java.util.function.Function;
 import waytrestle.invoker.LoadMetrics;
 import waytrestle.overload.StartupPreloadLimit;
 import waytrestle.requests.RequestHandler.FunctionHints;
@@ -13,9 +15,6 @@
 import waytrestle.scheduler.SchedulerEvent.HealthCheckCompleted;
 import waytrestle.scheduler.SchedulerSettings;
 
-import java.util.Map;
-import java.util.function.Function;
-
 /**
  * Sends what the scheduler asks of invokers beside attempts: preload and unload requests, health
  * checks, the closing of idle connections.
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -1,8 +1,9 @@
 package waytrestle.gateway;
 
+import java.util.Collection;
+import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-
 import waytrestle.config.GatewayConfig;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerDependencies;
@@ -20,9 +21,6 @@
 import waytrestle.scheduler.ResponseCode;
 import waytrestle.scheduler.SchedulerEvent;
 
-import java.util.Collection;
-import java.util.List;
-
 /**
  * What a gateway's controller is made of by its configuration, and what it counts and logs of
  * itself.
--- a/src/main/java/waytrestle/responses/CapabilityVerifier.java
+++ b/src/main/java/waytrestle/responses/CapabilityVerifier.java
@@ -1,8 +1,7 @@
 package waytrestle.responses;
 
-import waytrestle.scheduler.StartKind;
-
 import java.util.Map;
+import waytrestle.scheduler.StartKind;
 
 /**
  * Checks the declared capabilities of invokers against their responses, and passes on only trusted
--- a/src/main/java/waytrestle/responses/EndpointListFilter.java
+++ b/src/main/java/waytrestle/responses/EndpointListFilter.java
@@ -1,15 +1,14 @@
 package waytrestle.responses;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
 import waytrestle.responses.ClassifierCommand.Sink;
 import waytrestle.responses.ClassifierCommand.UpdateEndpoints;
 import waytrestle.scheduler.EndpointState;
 import waytrestle.scheduler.InvokerEndpoint;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Consumer;
-
 /**
  * Converts the endpoint lists of service discovery into the lists for the scheduler: ejected
  * invokers are draining in them, and a restart inferred from closed connections shows in them
--- a/src/main/java/waytrestle/responses/FailureAttribution.java
+++ b/src/main/java/waytrestle/responses/FailureAttribution.java
@@ -1,8 +1,7 @@
 package waytrestle.responses;
 
-import waytrestle.responses.ClassifierCommand.Sink;
-
 import java.util.Map;
+import waytrestle.responses.ClassifierCommand.Sink;
 
 /**
  * Attributes failures to the function if it fails at all invokers alike, or to the invoker if the
--- a/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
+++ b/src/main/java/waytrestle/responses/HealthTrackingClassifier.java
@@ -1,5 +1,9 @@
 package waytrestle.responses;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.FailFunctionNotFound;
@@ -21,11 +25,6 @@
 import waytrestle.scheduler.SchedulerSettings.Preloading;
 import waytrestle.scheduler.StartKind;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Classifies the ends of attempts and derives from them the health of functions and, separately, of
  * invokers.
--- a/src/main/java/waytrestle/responses/InvokerLoadReport.java
+++ b/src/main/java/waytrestle/responses/InvokerLoadReport.java
@@ -1,8 +1,7 @@
 package waytrestle.responses;
 
-import waytrestle.scheduler.StartKind;
-
 import java.util.Map;
+import waytrestle.scheduler.StartKind;
 
 /**
  * The state that an invoker reports of itself with a response.
--- a/src/main/java/waytrestle/responses/InvokerRecord.java
+++ b/src/main/java/waytrestle/responses/InvokerRecord.java
@@ -1,11 +1,10 @@
 package waytrestle.responses;
 
-import waytrestle.scheduler.EndpointState;
-import waytrestle.scheduler.InvokerEndpoint;
-
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import waytrestle.scheduler.EndpointState;
+import waytrestle.scheduler.InvokerEndpoint;
 
 /**
  * Holds what this controller knows about one invoker: its endpoint, its health, and the attempts
--- a/src/main/java/waytrestle/responses/OutlierEjection.java
+++ b/src/main/java/waytrestle/responses/OutlierEjection.java
@@ -1,5 +1,6 @@
 package waytrestle.responses;
 
+import java.util.List;
 import waytrestle.responses.ClassifierCommand.ReportEjection;
 import waytrestle.responses.ClassifierCommand.ReportReadmission;
 import waytrestle.responses.ClassifierCommand.SetTimer;
@@ -8,8 +9,6 @@
 import waytrestle.scheduler.InvokerEndpoint;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-import java.util.List;
-
 /**
  * Ejects outliers for a time and readmits them afterwards; an ejected invoker is draining in the
  * endpoint lists for the scheduler. Only a bounded share of the ready invokers is ejected at a
--- a/src/main/java/waytrestle/responses/RequestRecord.java
+++ b/src/main/java/waytrestle/responses/RequestRecord.java
@@ -1,11 +1,10 @@
 package waytrestle.responses;
 
-import waytrestle.responses.ClassifierEvent.RequestStarted;
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import waytrestle.responses.ClassifierEvent.RequestStarted;
 
 /**
  * Holds the failures of the attempts of one open request.
--- a/src/main/java/waytrestle/scheduler/EndpointTracker.java
+++ b/src/main/java/waytrestle/scheduler/EndpointTracker.java
@@ -1,12 +1,11 @@
 package waytrestle.scheduler;
 
-import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
-import waytrestle.stats.DecayingAverage;
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
+import waytrestle.stats.DecayingAverage;
 
 /** Follows the endpoint list: which invokers are ready, and which have started anew. */
 final class EndpointTracker {
--- a/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
@@ -2,8 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpMessage;
 import waytrestle.http.HttpParser;
@@ -11,9 +12,6 @@
 import waytrestle.responses.ExchangeResult;
 import waytrestle.scheduler.ResponseCode;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-
 /** What an invoker's response proves, from its bytes to the scheduler's code. */
 class PlatformResponseClassifierTest {
     private final PlatformResponseClassifier classifier = new PlatformResponseClassifier();
--- a/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
+++ b/src/test/java/waytrestle/responses/CapabilityVerifierTest.java
@@ -1,21 +1,18 @@
 package waytrestle.responses;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.startReport;
 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-
 import waytrestle.responses.ClassifierCommand.WarnOfMissingCapability;
 import waytrestle.scheduler.StartKind;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 /** Tests which reports of invokers are passed on and which are replaced as unknown. */
 class CapabilityVerifierTest {
     private static final long RUN_MICROS = 10 * MICROS_PER_MILLISECOND;
--- a/src/test/java/waytrestle/responses/ClassifierFixture.java
+++ b/src/test/java/waytrestle/responses/ClassifierFixture.java
@@ -1,5 +1,11 @@
 package waytrestle.responses;
 
+import java.util.ArrayList;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.List;
+import java.util.Map;
+import java.util.Map;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierCommand.UpdateEndpoints;
@@ -19,10 +25,6 @@
 import waytrestle.scheduler.SchedulerSettings.Preloading;
 import waytrestle.scheduler.StartKind;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Drives a classifier of one controller with a simulated clock, and holds the commands that the
  * last event led to.
--- a/src/test/java/waytrestle/responses/FunctionCircuitTest.java
+++ b/src/test/java/waytrestle/responses/FunctionCircuitTest.java
@@ -4,21 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static waytrestle.responses.ClassifierFixture.ERROR;
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.response;
 
+import java.util.Random;
+import java.util.Random;
 import org.junit.jupiter.api.Test;
-
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierEvent.RequestCompleted;
 
-import java.util.Random;
-
 /** Tests when the circuit of a function opens, admits probes and closes. */
 class FunctionCircuitTest {
     private static final int FAILED_REQUESTS_TO_OPEN = 5;
--- a/src/test/java/waytrestle/responses/FunctionRecordTest.java
+++ b/src/test/java/waytrestle/responses/FunctionRecordTest.java
@@ -1,14 +1,12 @@
 package waytrestle.responses;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierEvent.AttemptCompleted;
 import waytrestle.responses.ClassifierEvent.AttemptRequested;
--- a/src/test/java/waytrestle/responses/HealthTrackingClassifierPropertyTest.java
+++ b/src/test/java/waytrestle/responses/HealthTrackingClassifierPropertyTest.java
@@ -2,16 +2,19 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static waytrestle.responses.ClassifierFixture.CONNECTION_LOST;
 import static waytrestle.responses.ClassifierFixture.DECLARED_CONCURRENCY;
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_SECOND;
 import static waytrestle.responses.ClassifierFixture.SERVED;
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.ForwardAttempt;
@@ -24,12 +27,6 @@
 import waytrestle.scheduler.LoadReportSource;
 import waytrestle.scheduler.StartKind;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-
 /** Tests invariants of the classifier for random orders of events. */
 class HealthTrackingClassifierPropertyTest {
     private static final int STEPS = 400;
--- a/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
+++ b/src/test/java/waytrestle/responses/HealthTrackingClassifierTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static waytrestle.responses.ClassifierFixture.CONNECTION_LOST;
 import static waytrestle.responses.ClassifierFixture.ERROR;
 import static waytrestle.responses.ClassifierFixture.FULL;
@@ -16,7 +15,6 @@
 import static waytrestle.responses.ClassifierFixture.response;
 
 import org.junit.jupiter.api.Test;
-
 import waytrestle.responses.ClassifierCommand.FailFunctionNotFound;
 import waytrestle.responses.ClassifierCommand.ForwardAttempt;
 import waytrestle.responses.ClassifierEvent.AttemptCompleted;
--- a/src/test/java/waytrestle/responses/OutlierEjectionTest.java
+++ b/src/test/java/waytrestle/responses/OutlierEjectionTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import static waytrestle.responses.ClassifierFixture.ERROR;
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_MILLISECOND;
 import static waytrestle.responses.ClassifierFixture.MICROS_PER_SECOND;
@@ -13,8 +12,9 @@
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.response;
 
+import java.util.List;
+import java.util.List;
 import org.junit.jupiter.api.Test;
-
 import waytrestle.responses.ClassifierCommand.ReportEjection;
 import waytrestle.responses.ClassifierEvent.EndpointListReceived;
 import waytrestle.responses.ClassifierEvent.TimerExpired;
@@ -22,8 +22,6 @@
 import waytrestle.scheduler.InvokerEndpoint;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-import java.util.List;
-
 /** Tests which invokers are ejected, for how long, and in which state the scheduler sees them. */
 class OutlierEjectionTest {
     private final ClassifierFixture fixture = new ClassifierFixture();
