--- a/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
+++ b/src/test/java/waytrestle/scheduler/ResponseLearnerTest.java
@@ -13,20 +13,21 @@
 import waytrestle.scheduler.SchedulerCommand.RejectRequest;
 import waytrestle.scheduler.SchedulerEvent.AttemptCompleted;
 
-/** What responses and load reports teach. */
+/** What the scheduler learns from responses and load reports. */
 class ResponseLearnerTest {
     @Test
     void reportedQueueWithoutInFlightCountMovesTheNextRequestElsewhere() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
-        String known =
+        String warmInvoker =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
                         2,
                         0,
-                        known,
+                        warmInvoker,
                         ResponseCode.OK,
                         true,
                         100_000,
@@ -34,23 +35,24 @@
                         -1,
                         Map.of("queue", 60.0)));
         assertNotEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
     @Test
     void reportedQueueOfRequestsWaitingForLoadsDoesNotCountAsQueue() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         scheduler.serveWarm(1, "f");
-        String known =
+        String warmInvoker =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker();
         scheduler.feed(
                 new AttemptCompleted(
                         2,
                         0,
-                        known,
+                        warmInvoker,
                         ResponseCode.OK,
                         true,
                         100_000,
@@ -58,33 +60,37 @@
                         -1,
                         Map.of("queue", 900.0, "x1", 900.0)));
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
     @Test
     void reportedQueueLosesItsEffectWithinEightSeconds() {
-        for (long later : new long[] {0, 8_000_000}) {
-            SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-            String known = scheduler.serveWarm(1, "f");
+        for (long ageMicros : new long[] {0, 8_000_000}) {
+            SchedulerFixture scheduler =
+                    new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+            String warmInvoker = scheduler.serveWarm(1, "f");
             scheduler.request(2, "f", 5_000_000, 300_000);
             scheduler.feed(
                     new AttemptCompleted(
                             2,
                             0,
-                            known,
+                            warmInvoker,
                             ResponseCode.OK,
                             true,
                             100_000,
                             StartKind.WARM,
                             -1,
                             Map.of("queue", 60.0)));
-            scheduler.now += later;
-            String to =
+            scheduler.now += ageMicros;
+            String target =
                     onlyCommand(scheduler.request(3, "f", 5_000_000, 300_000), ForwardAttempt.class)
                             .invoker();
-            assertEquals(later > 0, known.equals(to), "after " + later);
+            assertEquals(
+                    ageMicros > 0,
+                    warmInvoker.equals(target),
+                    "report age in microseconds: " + ageMicros);
         }
     }
 
@@ -98,7 +104,7 @@
             List<SchedulerCommand> commands = scheduler.request(i, "f" + i, 2_400_000, 3_000_000);
             scheduler.now += 10_000;
             for (ForwardAttempt attempt : commandsOfType(commands, ForwardAttempt.class)) {
-                boolean notLoaded = i <= 2; // all others are loaded wherever they are requested
+                boolean notLoaded = i <= 2; // all later functions are loaded at every invoker
                 scheduler.completeAttempt(
                         i,
                         0,
@@ -109,6 +115,6 @@
             }
             rejected += i > 200 && commandsOfType(commands, RejectRequest.class).size() > 0 ? 1 : 0;
         }
-        assertEquals(0, rejected, "of the last hundred");
+        assertEquals(0, rejected, "rejected among the last 100 requests");
     }
 }
--- a/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
+++ b/src/test/java/waytrestle/scheduler/StateMaintenanceTest.java
@@ -10,29 +10,33 @@
 import waytrestle.scheduler.SchedulerEvent.RequestReceived;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Periodic maintenance: keep-alive renewal and its cost. */
+/** Periodic maintenance: renewal of keep-alives, and how its run time grows. */
 class StateMaintenanceTest {
     @Test
     void instanceOfAFunctionInUseIsPreloadedAgainBeforeItsKeepAliveExpires() {
-        SchedulerFixture scheduler = new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        SchedulerFixture scheduler =
+                new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
+        String warmInvoker = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f");
-        scheduler.completeAttempt(2, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+        scheduler.completeAttempt(2, 0, warmInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
         scheduler.now += 8_000_000;
         PreloadFunction preload =
                 onlyCommand(
                         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance())),
                         PreloadFunction.class);
-        assertEquals(new PreloadFunction(known, "f", 1), preload);
+        assertEquals(new PreloadFunction(warmInvoker, "f", 1), preload);
     }
 
     @Test
     void maintenanceTimeDoesNotGrowWithInvokersWhenKnownInstancesStayEqual() {
-        long few = quickestMaintenanceNanos(10);
-        long many = quickestMaintenanceNanos(100);
+        long fewInvokersNanos = quickestMaintenanceNanos(10);
+        long manyInvokersNanos = quickestMaintenanceNanos(100);
         assertTrue(
-                many < 4 * few,
-                "ten times the invokers, the same instances: " + few + " and " + many + " ns");
+                manyInvokersNanos < 4 * fewInvokersNanos,
+                "nanoseconds with 10 and with 100 invokers, equal instances: "
+                        + fewInvokersNanos
+                        + " and "
+                        + manyInvokersNanos);
     }
 
     private static long quickestMaintenanceNanos(int invokers) {
@@ -47,12 +51,12 @@
                     new RequestReceived(
                             i, 0, -1, "f" + i % 1_500, 3_000_000, 0, 300, 2, 0, false, false));
         }
-        long quickest = Long.MAX_VALUE;
+        long quickestNanos = Long.MAX_VALUE;
         for (int i = 0; i < 300; i++) {
             long start = System.nanoTime();
             scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
-            quickest = Math.min(quickest, System.nanoTime() - start);
+            quickestNanos = Math.min(quickestNanos, System.nanoTime() - start);
         }
-        return quickest;
+        return quickestNanos;
     }
 }
