--- a/src/test/java/waytrestle/responses/ClassifierFixture.java
+++ b/src/test/java/waytrestle/responses/ClassifierFixture.java
@@ -1,11 +1,8 @@
 package waytrestle.responses;
 
 import java.util.ArrayList;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.List;
 import java.util.Map;
-import java.util.Map;
 import waytrestle.responses.ClassifierCommand.CompleteAttempt;
 import waytrestle.responses.ClassifierCommand.RejectRequest;
 import waytrestle.responses.ClassifierCommand.UpdateEndpoints;
--- a/src/test/java/waytrestle/responses/FunctionCircuitTest.java
+++ b/src/test/java/waytrestle/responses/FunctionCircuitTest.java
@@ -10,7 +10,6 @@
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.response;
 
-import java.util.Random;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import waytrestle.responses.ClassifierCommand.AdmitRequest;
--- a/src/test/java/waytrestle/responses/OutlierEjectionTest.java
+++ b/src/test/java/waytrestle/responses/OutlierEjectionTest.java
@@ -12,7 +12,6 @@
 import static waytrestle.responses.ClassifierFixture.readyInvokers;
 import static waytrestle.responses.ClassifierFixture.response;
 
-import java.util.List;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import waytrestle.responses.ClassifierCommand.ReportEjection;
