--- a/src/main/java/waytrestle/config/platform/PlatformConfig.java
+++ b/src/main/java/waytrestle/config/platform/PlatformConfig.java
@@ -130,7 +130,7 @@
     }
 
     private static InetSocketAddress address(String text, String field) {
-        return WatchEventReader.address(text, field);
+        return WatchEventReader.parseAddress(text, field);
     }
 
     /** An address, or null if the field is absent or empty. */
--- a/src/main/java/waytrestle/discovery/ConsulPoller.java
+++ b/src/main/java/waytrestle/discovery/ConsulPoller.java
@@ -128,7 +128,7 @@
     }
 
     /** Starts or stops the blocking queries. */
-    public void subscribe(boolean enabled) {
+    public void setSubscribed(boolean enabled) {
         if (enabled == subscribed) {
             return;
         }
@@ -159,7 +159,7 @@
 
     private void publishOrSchedule(Command command) {
         if (command instanceof Poll poll) {
-            nextPoll = loop.after(poll.afterMicros(), () -> pollWhileSubscribed(poll.index()));
+            nextPoll = loop.after(poll.delayMicros(), () -> pollWhileSubscribed(poll.index()));
         } else {
             publisher.accept(command);
         }
--- a/src/main/java/waytrestle/discovery/EndpointDirectory.java
+++ b/src/main/java/waytrestle/discovery/EndpointDirectory.java
@@ -60,17 +60,18 @@
     /**
      * A poll returned the complete list of endpoints, as of the health API's index.
      *
-     * @param sinceMicros the earliest time at which the response can have arrived
+     * @param earliestArrivalMicros the earliest time at which the response can have arrived
      */
-    public record SnapshotReceived(long index, List<RegisteredEndpoint> entries, long sinceMicros)
+    public record SnapshotReceived(
+            long index, List<RegisteredEndpoint> entries, long earliestArrivalMicros)
             implements Event {}
 
     /**
      * A poll returned no list of endpoints.
      *
-     * @param sinceMicros the earliest time at which it can have failed
+     * @param earliestFailureMicros the earliest time at which it can have failed
      */
-    public record PollFailed(long sinceMicros) implements Event {}
+    public record PollFailed(long earliestFailureMicros) implements Event {}
 
     /** What is to be done after an event. */
     public sealed interface Command {}
@@ -91,7 +92,7 @@
     public record PublishFreshness(boolean current, long receivedAtMicros) implements Command {}
 
     /** Poll after the delay, blocking until the index changes; index 0 is answered at once. */
-    public record Poll(long index, long afterMicros) implements Command {}
+    public record Poll(long index, long delayMicros) implements Command {}
 
     private final long minBackoffMicros;
     private final long maxBackoffMicros;
@@ -131,7 +132,7 @@
     }
 
     /** Microseconds since the last snapshot; -1 before the first. */
-    public long age(long nowMicros) {
+    public long ageMicros(long nowMicros) {
         if (lastSnapshotAtMicros == NEVER) {
             return AGE_BEFORE_FIRST_SNAPSHOT;
         }
@@ -152,7 +153,7 @@
         if (publishesFailures) {
             commands.accept(new PublishFailure());
         }
-        freshness.lost(failure.sinceMicros());
+        freshness.queryFailed(failure.earliestFailureMicros());
         publishFreshness(commands);
         commands.accept(new Poll(index, delayMicros));
     }
@@ -180,11 +181,11 @@
             commands.accept(new PublishUpdate(update));
         }
         awaitingFirstSnapshot = false;
-        boolean late = nowMicros - snapshot.sinceMicros() > LATE_MICROS;
+        boolean late = nowMicros - snapshot.earliestArrivalMicros() > LATE_MICROS;
         if (late) {
-            freshness.lost(snapshot.sinceMicros());
+            freshness.queryFailed(snapshot.earliestArrivalMicros());
         } else {
-            freshness.answered(nowMicros);
+            freshness.queryAnswered(nowMicros);
         }
         publishFreshness(commands);
         if (late) {
--- a/src/main/java/waytrestle/discovery/PollFreshness.java
+++ b/src/main/java/waytrestle/discovery/PollFreshness.java
@@ -17,10 +17,11 @@
     /**
      * How long the list may be acted on.
      *
-     * @param responseMicros within which a blocking query is answered
-     * @param validMicros after a query that failed or is overdue; {@link #UNLIMITED} for ever
+     * @param responseTimeoutMicros within which a blocking query is answered
+     * @param validAfterFailureMicros after a query that failed or is overdue; {@link #UNLIMITED}
+     *     for ever
      */
-    public record Limits(long responseMicros, long validMicros) {
+    public record Limits(long responseTimeoutMicros, long validAfterFailureMicros) {
         /** A list that may be acted on however old it is. */
         public static final Limits NONE = new Limits(0, UNLIMITED);
     }
@@ -47,18 +48,20 @@
     }
 
     /** A query was answered, and the next one follows. */
-    void answered(long nowMicros) {
+    void queryAnswered(long nowMicros) {
         current = true;
-        receivedAtMicros = validFrom(nowMicros + limits.responseMicros());
+        receivedAtMicros = validFrom(nowMicros + limits.responseTimeoutMicros());
     }
 
     /** The query has failed, or its response lay unread, since that time. */
-    void lost(long sinceMicros) {
+    void queryFailed(long sinceMicros) {
         current = false;
         receivedAtMicros = Math.min(receivedAtMicros, validFrom(sinceMicros));
     }
 
     private long validFrom(long micros) {
-        return limits.validMicros() == UNLIMITED ? UNLIMITED : micros + limits.validMicros();
+        return limits.validAfterFailureMicros() == UNLIMITED
+                ? UNLIMITED
+                : micros + limits.validAfterFailureMicros();
     }
 }
--- a/src/main/java/waytrestle/discovery/watch/ListFreshness.java
+++ b/src/main/java/waytrestle/discovery/watch/ListFreshness.java
@@ -53,12 +53,12 @@
     }
 
     /** The connection has ended, or events are missing on it. */
-    void brokenOff(long sinceMicros) {
+    void streamInterrupted(long sinceMicros) {
         atLatest(sinceMicros + BROKEN_OFF_MICROS);
     }
 
     /** The server has sent nothing new for longer than it may. */
-    void fallenSilent() {
+    void serverSilent() {
         atLatest(lastLineAtMicros + SILENT_MICROS);
     }
 
@@ -66,19 +66,19 @@
      * Nobody listened for a while, and the server may have been reachable. Guards against a process
      * that was stopped between two outages: it takes them for one.
      */
-    void mayHaveMissed(long sinceMicros) {
+    void processStopped(long sinceMicros) {
         if (!current) {
             receivedAtMicros = Math.min(receivedAtMicros, sinceMicros);
         }
     }
 
     /** The server is at another address from now on. */
-    void moved(long nowMicros) {
+    void addressChanged(long nowMicros) {
         atLatest(nowMicros + MOVED_MICROS);
     }
 
     /** The events have been requested again on a new connection. */
-    void requested(long nowMicros) {
+    void eventsRequested(long nowMicros) {
         atLatest(nowMicros);
     }
 
--- a/src/main/java/waytrestle/discovery/watch/WatchEventReader.java
+++ b/src/main/java/waytrestle/discovery/watch/WatchEventReader.java
@@ -79,7 +79,7 @@
         EndpointState state = readState(host);
         return new WatchEvent.Endpoint(
                 host.requiredText("host"),
-                address(host.requiredText("dial"), "dial"),
+                parseAddress(host.requiredText("dial"), "dial"),
                 indexOrFirst(zones, host.text("site")),
                 host.wholeInt("block"),
                 indexOrFirst(kinds, host.text("class")),
@@ -108,7 +108,7 @@
      * @param field names the address in the message of an error
      * @throws MalformedJsonException if the text is no such address
      */
-    public static InetSocketAddress address(String text, String field) {
+    public static InetSocketAddress parseAddress(String text, String field) {
         int colon = text.lastIndexOf(':');
         try {
             byte[] host = ipv4(text.substring(0, Math.max(0, colon)));
--- a/src/main/java/waytrestle/discovery/watch/WatchState.java
+++ b/src/main/java/waytrestle/discovery/watch/WatchState.java
@@ -47,16 +47,16 @@
     /**
      * A line arrived: an event or a heartbeat.
      *
-     * @param sinceMicros the earliest time at which it can have come
+     * @param earliestArrivalMicros the earliest time at which it can have come
      */
-    public record LineReceived(WatchEvent event, long sinceMicros) implements Event {}
+    public record LineReceived(WatchEvent event, long earliestArrivalMicros) implements Event {}
 
     /**
      * The connection ended, could not be made, or carried a line that cannot be read.
      *
-     * @param sinceMicros the earliest time at which that can have happened
+     * @param earliestFailureMicros the earliest time at which that can have happened
      */
-    public record ConnectionFailed(long sinceMicros) implements Event {}
+    public record ConnectionFailed(long earliestFailureMicros) implements Event {}
 
     /** The events after the last one known were requested on a new connection. */
     public record RequestSent() implements Event {}
@@ -68,7 +68,7 @@
      * The process has not run since that time. Where there was no connection it cannot tell whether
      * the server was reachable meanwhile, and events were published.
      */
-    public record ProcessStopped(long sinceMicros) implements Event {}
+    public record ProcessStopped(long stoppedSinceMicros) implements Event {}
 
     /** It is time to check whether the server still sends heartbeats. */
     public record HeartbeatCheckDue() implements Event {}
@@ -156,21 +156,21 @@
         if (event instanceof LineReceived line) {
             lineReceived(nowMicros, line, commands);
         } else if (event instanceof RequestSent) {
-            freshness.requested(nowMicros);
+            freshness.eventsRequested(nowMicros);
         } else if (event instanceof ConnectionFailed failed) {
             lost(LossCause.CLOSED);
-            freshness.brokenOff(failed.sinceMicros());
+            freshness.streamInterrupted(failed.earliestFailureMicros());
             reconnect(nowMicros, commands);
         } else if (event instanceof ProcessStopped stopped) {
-            freshness.mayHaveMissed(stopped.sinceMicros());
+            freshness.processStopped(stopped.stoppedSinceMicros());
         } else if (event instanceof AddressChanged) {
             lost(LossCause.MOVED);
-            freshness.moved(nowMicros);
+            freshness.addressChanged(nowMicros);
             consecutiveFailures = 0;
             reconnect(nowMicros, commands);
         } else if (nowMicros - silentSinceMicros > HEARTBEAT_TIMEOUT_MICROS) {
             lost(LossCause.SILENT);
-            freshness.fallenSilent();
+            freshness.serverSilent();
             reconnect(nowMicros, commands);
         } else if (mayHaveCaughtUp(nowMicros)) {
             confirmationRequested = true;
@@ -212,7 +212,7 @@
         silentSinceMicros = nowMicros;
         if (event.revision() > highestExpectedRevision(event)) {
             lost(LossCause.GAP);
-            freshness.brokenOff(line.sinceMicros());
+            freshness.streamInterrupted(line.earliestArrivalMicros());
             reconnect(nowMicros, commands);
             return;
         }
@@ -222,14 +222,14 @@
             commands.accept(new PublishSynchronized());
         }
         if (event.isHeartbeat()) {
-            freshness.caughtUp(line.sinceMicros());
+            freshness.caughtUp(line.earliestArrivalMicros());
             confirmationRequested = false;
         } else if (event.revision() == lastRevision + 1) {
             lastRevision = event.revision();
             if (!freshness.isCatchingUp()) {
                 catchingUpSinceMicros = nowMicros;
             }
-            freshness.eventReceived(line.sinceMicros());
+            freshness.eventReceived(line.earliestArrivalMicros());
             commands.accept(new PublishEvent(event));
         }
     }
--- a/src/main/java/waytrestle/gateway/EndpointSource.java
+++ b/src/main/java/waytrestle/gateway/EndpointSource.java
@@ -84,7 +84,7 @@
         metrics.registerGauge(
                 "waytrestle_roster_age_seconds",
                 "",
-                () -> directory.age(Loop.nowMicros()) / MICROS_PER_SECOND);
+                () -> directory.ageMicros(Loop.nowMicros()) / MICROS_PER_SECOND);
         metrics.setHelp("waytrestle_roster_lost", "1 while the roster's last query has failed.");
         metrics.registerGauge("waytrestle_roster_lost", "", () -> lost ? 1 : 0);
         metrics.setHelp("waytrestle_roster_outages", "Times that the roster was lost.");
@@ -99,7 +99,7 @@
             // The scheduler subscribes once it has received a list, empty as yet.
             controller.endpointsUpdated(new EndpointsUpdated(true, true, List.of()));
         } else {
-            poller.subscribe(true);
+            poller.setSubscribed(true);
         }
     }
 
@@ -110,7 +110,7 @@
     /** Starts or stops following the health API. */
     void subscribe(boolean enabled) {
         if (!isFixed()) {
-            poller.subscribe(enabled);
+            poller.setSubscribed(enabled);
         }
     }
 
--- a/src/test/java/waytrestle/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/waytrestle/discovery/EndpointDirectoryTest.java
@@ -112,14 +112,14 @@
                     "no list is published, only the next poll is set");
             assertNull(update());
             assertEquals(5, nextPoll().index());
-            assertTrue(nextPoll().afterMicros() <= MAX_BACKOFF_MICROS);
-            assertTrue(nextPoll().afterMicros() >= MIN_BACKOFF_MICROS / 2);
-            longestMicros = Math.max(longestMicros, nextPoll().afterMicros());
+            assertTrue(nextPoll().delayMicros() <= MAX_BACKOFF_MICROS);
+            assertTrue(nextPoll().delayMicros() >= MIN_BACKOFF_MICROS / 2);
+            longestMicros = Math.max(longestMicros, nextPoll().delayMicros());
         }
         assertTrue(longestMicros > MAX_BACKOFF_MICROS / 2);
         assertEquals(1, directory.size());
         nowMicros += 700;
-        assertEquals(700, directory.age(nowMicros));
+        assertEquals(700, directory.ageMicros(nowMicros));
     }
 
     @Test
@@ -129,13 +129,13 @@
         }
         receiveSnapshot(5, ready("a", 1));
         failPoll();
-        assertTrue(nextPoll().afterMicros() <= MIN_BACKOFF_MICROS);
+        assertTrue(nextPoll().delayMicros() <= MIN_BACKOFF_MICROS);
     }
 
     @Test
     void thereIsNoAgeBeforeTheFirstSnapshot() {
         failPoll();
-        assertEquals(-1, directory.age(nowMicros));
+        assertEquals(-1, directory.ageMicros(nowMicros));
     }
 
     @Test
@@ -150,7 +150,7 @@
         receiveSnapshot(500, ready("a", 1));
         receiveSnapshot(3, ready("a", 1));
         assertEquals(0, nextPoll().index());
-        assertTrue(nextPoll().afterMicros() > 0, "not at once: the health API has just restarted");
+        assertTrue(nextPoll().delayMicros() > 0, "not at once: the health API has just restarted");
     }
 
     @Test
