--- a/src/main/java/waytrestle/net/Connection.java
+++ b/src/main/java/waytrestle/net/Connection.java
@@ -10,22 +10,24 @@
 import java.util.function.Function;
 
 /**
- * A TCP connection on a loop. Input the handler does not take is kept, up to {@code keep} bytes,
- * and offered again at {@link #offerUnreadInput}; at the bound reading stops, which is the
- * back-pressure on the sender. Output is queued by reference and written gathered; {@link
- * #pendingBytes} tells the writer when to stop producing.
+ * A TCP connection on an event loop: connects, hands input to its handler and writes queued output.
+ * Used on the loop's thread only. Points in time are those of {@link Loop#nowMicros}.
  *
- * <p>A read or write that fails is tried again after a pause: a connection ends only when the peer
- * has ended it, when a read says that it is broken, or when it has failed for longer than its
- * patience.
+ * <p>Input that the handler does not take is kept, up to {@code maxUnreadBytes}, and offered again
+ * by {@link #offerUnreadInput}. At that limit reading stops, and TCP flow control stops the sender.
+ * Output is queued without copying; {@link #pendingBytes} tells the writer when to stop producing.
+ *
+ * <p>A failed read or write is tried again after a pause. An established connection fails only when
+ * the peer has ended it, when a read reports that it is broken, or when reads or writes have failed
+ * for longer than the retry timeout of its {@link PeerRole}.
  *
  * <table>
  * <caption>States</caption>
  * <tr><th>state</th><th>entered by</th><th>left for</th></tr>
  * <tr><td>CONNECTING</td><td>{@link #open}</td><td>OPEN, CLOSED</td></tr>
- * <tr><td>OPEN</td><td>{@link #ofAccepted}, the connection came up</td><td>CLOSING, CLOSED</td></tr>
+ * <tr><td>OPEN</td><td>{@link #ofAccepted}, connection established</td><td>CLOSING, CLOSED</td></tr>
  * <tr><td>CLOSING</td><td>{@link #closeWhenSent} with output pending</td><td>CLOSED</td></tr>
- * <tr><td>CLOSED</td><td>{@link #close}, {@link #reset}, the peer's end, a failure</td><td></td></tr>
+ * <tr><td>CLOSED</td><td>{@link #close}, {@link #reset}, end by the peer, failure</td><td></td></tr>
  * </table>
  */
 public final class Connection {
@@ -36,10 +38,10 @@
         CLOSED
     }
 
-    /** Bytes written a turn: a large answer must not hold up the small ones. */
+    /** Bytes after which writing waits for the next turn: large responses must not delay others. */
     private static final long MAX_BYTES_PER_TURN = 256 * 1024;
 
-    /** Bytes read outside the loop's turn, at most. */
+    /** Most bytes that one {@link #poll} reads. */
     private static final int MAX_POLLED_BYTES = 64 * 1024;
 
     private final Loop loop;
@@ -49,99 +51,103 @@
     private final OutputQueue output = new OutputQueue();
     private final RetryTimer readRetry;
     private final RetryTimer writeRetry;
-    private final long bornSince;
-    private final long bornTurn;
-    private final long bornBehind;
+    private final long earliestArrivalMicros; // of input that arrived with the connection
+    private final long creationMicros; // end of the selection in the turn of the creation
+    private final long creationUnseen; // Loop.unseenMicros() at the creation
     private ConnectionHandler handler;
     private State state;
     private Registration registration;
     private TimerHeap.Timer connectTimer;
-    private long lastMove = Loop.nowMicros();
+    private long lastTransferMicros = Loop.nowMicros();
     private long brokenCloseDelayMicros;
-    private boolean outputEnds;
+    private boolean endsOutputWhenSent;
     private boolean paused;
 
-    private Connection(Loop loop, SocketChannel channel, int keep, State state) {
+    private Connection(Loop loop, SocketChannel channel, int maxUnreadBytes, State state) {
         this.loop = loop;
         this.channel = channel;
-        this.input = new UnreadInput(keep, in -> handler.received(in), this::isOpen);
+        this.input = new UnreadInput(maxUnreadBytes, in -> handler.received(in), this::isOpen);
         this.state = state;
         this.role = state == State.OPEN ? PeerRole.CLIENT : PeerRole.SERVER;
         this.readRetry = role.newReadRetry(loop, this::resumeReading);
         this.writeRetry = role.newWriteRetry(loop, this::resumeWriting);
-        this.bornSince = loop.previousSelectionMicros();
-        this.bornTurn = loop.currentSelectionMicros();
-        this.bornBehind = loop.unseenMicros();
+        this.earliestArrivalMicros = loop.previousSelectionMicros();
+        this.creationMicros = loop.currentSelectionMicros();
+        this.creationUnseen = loop.unseenMicros();
     }
 
     /**
-     * Takes over an accepted channel; the handler is made knowing its connection.
+     * Returns an open connection on an accepted channel, with a handler made for the connection.
      *
-     * @throws IOException when the channel cannot be registered; it is closed then, and no handler
-     *     was made
+     * @throws IOException when registering fails; the channel is closed then, without a handler
      */
     public static Connection ofAccepted(
             Loop loop,
             SocketChannel channel,
-            int keep,
-            Function<Connection, ConnectionHandler> maker)
+            int maxUnreadBytes,
+            Function<Connection, ConnectionHandler> handlerFactory)
             throws IOException {
-        Connection made = new Connection(loop, channel, keep, State.OPEN);
-        made.sendWithoutDelay();
+        Connection accepted = new Connection(loop, channel, maxUnreadBytes, State.OPEN);
+        accepted.sendWithoutDelay();
         try {
-            made.registration = loop.register(channel, SelectionKey.OP_READ, made::ready);
+            accepted.registration = loop.register(channel, SelectionKey.OP_READ, accepted::ready);
         } catch (IOException e) {
-            made.close();
+            accepted.close();
             throw e;
         }
-        made.handler = maker.apply(made);
-        return made;
+        accepted.handler = handlerFactory.apply(accepted);
+        return accepted;
     }
 
     /**
-     * Begins a connection; the handler hears {@code connected} or {@code closed}, within the time
-     * given.
+     * Starts to connect. The handler's {@code connected} is called once the connection is
+     * established, or its {@code closed} on a failure or after {@code connectMicros}.
      */
     public static Connection open(
             Loop loop,
-            InetSocketAddress to,
-            int keep,
+            InetSocketAddress address,
+            int maxUnreadBytes,
             long connectMicros,
             ConnectionHandler handler) {
         SocketChannel channel;
         try {
             channel = SocketChannel.open();
         } catch (IOException | RuntimeException e) {
-            Connection none = new Connection(loop, null, keep, State.CONNECTING);
-            none.handler = handler;
-            none.failSoon(new NoSocketException(e));
-            return none;
+            Connection failed = new Connection(loop, null, maxUnreadBytes, State.CONNECTING);
+            failed.handler = handler;
+            failed.failLater(new NoSocketException(e));
+            return failed;
         }
-        Connection made = new Connection(loop, channel, keep, State.CONNECTING);
-        made.handler = handler;
-        made.connect(to, connectMicros);
-        return made;
+        Connection connection = new Connection(loop, channel, maxUnreadBytes, State.CONNECTING);
+        connection.handler = handler;
+        connection.connect(address, connectMicros);
+        return connection;
     }
 
-    private void connect(InetSocketAddress to, long connectMicros) {
+    private void connect(InetSocketAddress address, long connectMicros) {
         connectTimer =
-                loop.after(connectMicros, () -> fail(new SocketTimeoutException("no connection")));
+                loop.after(
+                        connectMicros,
+                        () ->
+                                fail(
+                                        new SocketTimeoutException(
+                                                "not connected in " + connectMicros + " us")));
         sendWithoutDelay();
         try {
             channel.configureBlocking(false);
-            boolean done = channel.connect(to);
+            boolean done = channel.connect(address);
             registration = loop.register(channel, done ? 0 : SelectionKey.OP_CONNECT, this::ready);
             if (done) {
                 loop.after(0, this::established);
             }
         } catch (IOException e) {
-            failSoon(e);
+            failLater(e);
         } catch (RuntimeException e) {
-            failSoon(new IOException(e));
+            failLater(new IOException(e));
         }
     }
 
-    /** An option that cannot be set is no reason to give a good connection up. */
+    /** Sets TCP_NODELAY; where that fails, the connection is still good and is used without it. */
     private void sendWithoutDelay() {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -168,7 +174,7 @@
         }
         state = State.OPEN;
         connectTimer.cancel();
-        lastMove = Loop.nowMicros();
+        lastTransferMicros = Loop.nowMicros();
         updateInterest();
         handler.connected();
         if (isOpen() && !output.isEmpty()) {
@@ -176,32 +182,32 @@
         }
     }
 
-    /** Whether it has not been closed from either side. */
+    /** Returns whether neither side has closed the connection; true also while connecting. */
     public boolean isOpen() {
         return state != State.CLOSED;
     }
 
-    /** Bytes queued and not yet taken by the kernel. */
+    /** Returns the number of queued output bytes that the kernel has not taken yet. */
     public long pendingBytes() {
         return output.pendingBytes();
     }
 
-    /** Bytes that the kernel has taken since the connection began. */
+    /** Returns the number of output bytes that the kernel has taken since the connection began. */
     public long writtenBytes() {
         return output.writtenBytes();
     }
 
-    /** Monotonic micros of the last byte in either direction. */
+    /** Returns when bytes were last read or written, or when the connection was established. */
     public long lastTransferMicros() {
-        return lastMove;
+        return lastTransferMicros;
     }
 
-    /** The earliest time at which the input now offered can have come. */
+    /** Returns the earliest time at which the input now offered to the handler can have arrived. */
     public long offeredSinceMicros() {
         return input.offeredSinceMicros();
     }
 
-    /** The peer's address and port for the log. */
+    /** Returns the peer's address and port for the log, {@code unknown} on a closed channel. */
     public String peerAddress() {
         return SocketAddresses.remoteAddress(channel);
     }
@@ -210,29 +216,26 @@
         loop.faults().count(role.faultOperation(operation), reaction, error);
     }
 
-    /**
-     * Asks the kernel whether anything has come on an idle connection, or its other side has ended
-     * it.
-     */
+    /** Returns what the kernel knows of an idle connection; reads and discards up to one byte. */
     public IdleState checkIdle() {
         return IdleState.ofRead(SocketTransfers.read(channel, loop.oneByteBuffer()));
     }
 
     /**
-     * Takes in what the kernel holds, ahead of the loop: for whoever is about to act on this side's
-     * idleness, or for a client that may have gone. What has come is handed to the handler as ever;
-     * an end is told to it.
+     * Reads what the kernel holds, without waiting for the loop, to notice input or an end by the
+     * peer before an idle connection is closed or a client is served. Does nothing while reading is
+     * paused, input is being offered or the limit of unread input is reached.
      */
     public void poll() {
-        int room = Math.min(MAX_POLLED_BYTES, input.freeBytes());
-        if (!isOpen() || state == State.CONNECTING || paused || input.isOffering() || room <= 0) {
+        int limit = Math.min(MAX_POLLED_BYTES, input.freeBytes());
+        if (!isOpen() || state == State.CONNECTING || paused || input.isOffering() || limit <= 0) {
             return;
         }
-        ByteBuffer in = ByteBuffer.allocate(room); // the loop's own buffer may be in use
+        ByteBuffer in = ByteBuffer.allocate(limit); // the loop's read buffer may be in use
         take(SocketTransfers.read(channel, in), in);
     }
 
-    /** The same, where the loop has been busy elsewhere for long, or the last read has failed. */
+    /** Polls if the loop is behind or a failed read waits to be tried again. */
     public void pollIfBehind() {
         if (loop.isBehind() || readRetry.isPending()) {
             poll();
@@ -258,13 +261,14 @@
         ByteBuffer in = loop.readBuffer();
         in.limit(Math.max(1, Math.min(in.capacity(), input.freeBytes())));
         Transfer transfer = SocketTransfers.read(channel, in);
-        long behind =
-                loop.unseenMicros() + (loop.previousSelectionMicros() == bornTurn ? bornBehind : 0);
+        long unseenMicros =
+                loop.unseenMicros()
+                        + (loop.previousSelectionMicros() == creationMicros ? creationUnseen : 0);
         if (role == PeerRole.CLIENT
                 && transfer.hasProgressed()
                 && in.hasRemaining()
-                && behind > Loop.BEHIND_THRESHOLD_MICROS) {
-            // Who sent this may have gone since: nobody waits for it.
+                && unseenMicros > Loop.BEHIND_THRESHOLD_MICROS) {
+            // Drops the input of a client that has gone since: it does not wait for a response.
             Transfer next = SocketTransfers.read(channel, in);
             if (next.status() == Transfer.Status.ENDED || next.status() == Transfer.Status.BROKEN) {
                 transfer = next;
@@ -300,14 +304,13 @@
     }
 
     private void takeInput(ByteBuffer in) {
-        lastMove = Loop.nowMicros();
+        lastTransferMicros = Loop.nowMicros();
         in.flip();
-        // What came with the connection, or right behind it, may have waited for as long as the
-        // connection itself.
+        // Input read in the turn after the creation may have arrived together with the connection.
         input.add(
                 in,
-                loop.previousSelectionMicros() == bornTurn
-                        ? bornSince
+                loop.previousSelectionMicros() == creationMicros
+                        ? earliestArrivalMicros
                         : loop.previousSelectionMicros());
         updateInterest();
         if (isOpen() && input.freeBytes() <= 0) {
@@ -315,16 +318,13 @@
         }
     }
 
-    /**
-     * Stops reading, so that the peer's sending stops too; {@link #offerUnreadInput} after resuming
-     * goes on.
-     */
-    public void setReadingPaused(boolean stopsReading) {
-        paused = stopsReading;
+    /** Pauses or resumes reading; while it is paused, TCP flow control stops the peer's sending. */
+    public void setReadingPaused(boolean isPaused) {
+        paused = isPaused;
         updateInterest();
     }
 
-    /** Offers kept input again, after the handler became able to take more. */
+    /** Offers the unread input again: after reading resumed, or when the handler can take more. */
     public void offerUnreadInput() {
         if (!input.isOffering() && isOpen()) {
             input.offerAgain();
@@ -332,7 +332,7 @@
         }
     }
 
-    /** Queues buffers, which must not be touched after, and writes what the kernel takes now. */
+    /** Queues buffers, which the caller must not use any more, and writes what the kernel takes. */
     public void send(ByteBuffer... buffers) {
         if (!isOpen()) {
             return;
@@ -356,7 +356,7 @@
             }
             writeRetry.recordSuccess();
             output.recordWritten(transfer.bytes());
-            lastMove = Loop.nowMicros();
+            lastTransferMicros = Loop.nowMicros();
             turnBytes += transfer.bytes();
         }
         updateInterest();
@@ -369,15 +369,15 @@
         switch (transfer.status()) {
             case FAILED -> {
                 if (!writeRetry.recordFailure(transfer.error())) {
-                    failSoon(transfer.error());
+                    failLater(transfer.error());
                 }
             }
-            case BROKEN -> failSoon(transfer.error());
+            case BROKEN -> failLater(transfer.error());
             default -> writeRetry.recordSuccess();
         }
     }
 
-    /** A broken connection says so when it is read; any other is written to again. */
+    /** Reads first, since only a read reports a broken connection, and then writes again. */
     private void resumeWriting() {
         poll();
         if (isOpen()) {
@@ -391,7 +391,7 @@
             handler.closed(null);
             return;
         }
-        if (outputEnds) {
+        if (endsOutputWhenSent) {
             shutOutput();
         }
         handler.outputWritten();
@@ -407,9 +407,9 @@
                 (reads ? SelectionKey.OP_READ : 0) | (writes ? SelectionKey.OP_WRITE : 0));
     }
 
-    /** Ends this side once all queued output has gone; the other may go on sending. */
+    /** Shuts down the output once all that is queued is written; the peer may go on sending. */
     public void endOutput() {
-        outputEnds = true;
+        endsOutputWhenSent = true;
         if (output.pendingBytes() == 0) {
             shutOutput();
         }
@@ -421,11 +421,11 @@
                 channel.shutdownOutput();
             }
         } catch (IOException e) {
-            countFault("shutdown", "ignored", e); // a broken connection says so when it is read
+            countFault("shutdown", "ignored", e); // the next read reports a broken connection
         }
     }
 
-    /** Closes once all queued output has gone. */
+    /** Closes once all queued output is written, or at once without a callback if there is none. */
     public void closeWhenSent() {
         if (output.pendingBytes() == 0) {
             close();
@@ -435,8 +435,8 @@
     }
 
     /**
-     * Closes at once, without a callback. Unread input makes the kernel send a reset, as meant for
-     * a cancel.
+     * Closes at once, without a callback. If the kernel holds unread input, it sends a TCP reset,
+     * as intended for cancelled requests.
      */
     public void close() {
         if (!isOpen()) {
@@ -453,11 +453,11 @@
                 channel.close();
             }
         } catch (IOException e) {
-            countFault("close", "ignored", e); // the descriptor is gone either way
+            countFault("close", "ignored", e); // the file descriptor is released all the same
         }
     }
 
-    /** Closes with a reset, so that the peer sees at once that nobody waits. */
+    /** Closes at once with a TCP reset, so that the peer learns that nobody waits for it. */
     public void reset() {
         try {
             if (channel != null && channel.isOpen()) {
@@ -469,16 +469,16 @@
         close();
     }
 
-    /** Fails it after the caller's own step. */
-    private void failSoon(IOException why) {
-        loop.after(0, () -> fail(why));
+    /** Fails the connection once the loop's current task has returned. */
+    private void failLater(IOException failure) {
+        loop.after(0, () -> fail(failure));
     }
 
-    private void fail(IOException why) {
+    private void fail(IOException failure) {
         if (!isOpen()) {
             return;
         }
-        boolean broken = why != null;
+        boolean broken = failure != null;
         if (broken && brokenCloseDelayMicros > 0 && loop.mayDelayClose()) {
             state = State.CLOSED;
             registration.setOperations(0);
@@ -486,13 +486,13 @@
         } else {
             close();
         }
-        handler.closed(why);
+        handler.closed(failure);
     }
 
     /**
-     * From now on, if the connection is found to be broken, the peer is to see its end so much
-     * later; 0 for at once. What a peer sees soon after it has sent a request, it may take for a
-     * close that crossed the request, and send the request elsewhere.
+     * Sets how long after a failure the socket of a broken connection is closed; 0 for at once. A
+     * client that sees a close soon after sending a request may conclude that the close crossed the
+     * request, and send the request again elsewhere.
      */
     public void delayCloseIfBroken(long micros) {
         brokenCloseDelayMicros = micros;
--- a/src/main/java/waytrestle/net/IdleState.java
+++ b/src/main/java/waytrestle/net/IdleState.java
@@ -1,19 +1,19 @@
 package waytrestle.net;
 
-/** What an idle connection is found to be, before the loop has come to it. */
+/** What a read of one byte has found on an idle connection. */
 public enum IdleState {
-    /** Nothing has come on it. */
+    /** Nothing has arrived on the connection. */
     USABLE,
-    /** Something has come that nobody asked for. */
+    /** Data has arrived that answers no request. */
     UNEXPECTED_DATA,
-    /** The other side has ended it. */
+    /** The peer has ended the connection, or the connection is broken. */
     ENDED,
-    /** The look failed; the connection may still be good. */
+    /** The read failed; the connection may still be good. */
     UNKNOWN;
 
-    /** What a read of an idle connection says of it. */
-    static IdleState ofRead(Transfer look) {
-        return switch (look.status()) {
+    /** Returns the state of an idle connection on which a read had this result. */
+    static IdleState ofRead(Transfer read) {
+        return switch (read.status()) {
             case WOULD_BLOCK -> USABLE;
             case PROGRESS -> UNEXPECTED_DATA;
             case ENDED, BROKEN -> ENDED;
--- a/src/main/java/waytrestle/net/NoSocketException.java
+++ b/src/main/java/waytrestle/net/NoSocketException.java
@@ -2,11 +2,14 @@
 
 import java.io.IOException;
 
-/** No connection was tried: this process can have no further socket now. */
+/**
+ * Thrown when this process cannot open a further socket at the moment. No connection was tried, so
+ * it says nothing about the peer.
+ */
 public final class NoSocketException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    NoSocketException(Exception why) {
-        super("no socket is to be had: " + why.getMessage(), why);
+    NoSocketException(Exception cause) {
+        super("cannot open a socket: " + cause.getMessage(), cause);
     }
 }
--- a/src/main/java/waytrestle/net/OutputQueue.java
+++ b/src/main/java/waytrestle/net/OutputQueue.java
@@ -5,25 +5,26 @@
 import java.util.Iterator;
 
 /**
- * The output of one connection that the kernel has not taken yet, and how much it has. Free of I/O.
+ * Queues the output of one connection that the kernel has not taken yet, and counts in bytes how
+ * much it has taken. Does no I/O. Not thread-safe: used on the loop's thread.
  */
 final class OutputQueue {
-    /** Buffers of one gathered write: more gain nothing on a socket. */
+    /** Most buffers of one gathering write: more gain nothing on a socket. */
     private static final int MAX_GATHERED_BUFFERS = 16;
 
     /**
-     * Bytes of one buffer: the JDK copies all that is left of a heap buffer for each write, however
-     * little the socket takes.
+     * Larger buffers are queued in slices of this size. For each write the JDK copies all remaining
+     * bytes of a heap buffer, however few of them the socket takes.
      */
     private static final int MAX_SLICE_BYTES = 64 * 1024;
 
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
-    private long pending;
-    private long written;
+    private long pendingBytes;
+    private long writtenBytes;
 
-    /** Queues a buffer, which must not be touched after. */
+    /** Queues a buffer without copying it; the caller must not use the buffer afterwards. */
     void add(ByteBuffer buffer) {
-        pending += buffer.remaining();
+        pendingBytes += buffer.remaining();
         while (buffer.remaining() > MAX_SLICE_BYTES) {
             buffers.add(buffer.slice(buffer.position(), MAX_SLICE_BYTES));
             buffer.position(buffer.position() + MAX_SLICE_BYTES);
@@ -33,7 +34,7 @@
         }
     }
 
-    /** The next buffers to write, in order. */
+    /** Returns the buffers of the next write, in order; empty if nothing is queued. */
     ByteBuffer[] nextBuffers() {
         ByteBuffer[] next = new ByteBuffer[Math.min(MAX_GATHERED_BUFFERS, buffers.size())];
         Iterator<ByteBuffer> inOrder = buffers.iterator();
@@ -43,13 +44,19 @@
         return next;
     }
 
-    /** Notes what the kernel has taken of {@link #nextBuffers}. */
+    /**
+     * Records how many bytes of {@link #nextBuffers} the kernel has taken. The write must have
+     * advanced the buffers' positions.
+     *
+     * @throws IllegalArgumentException if the number is negative or above {@link #pendingBytes}
+     */
     void recordWritten(long bytes) {
-        if (bytes < 0 || bytes > pending) {
-            throw new IllegalArgumentException(bytes + " bytes taken of " + pending);
+        if (bytes < 0 || bytes > pendingBytes) {
+            throw new IllegalArgumentException(
+                    bytes + " bytes written, not between 0 and the pending " + pendingBytes);
         }
-        written += bytes;
-        pending -= bytes;
+        writtenBytes += bytes;
+        pendingBytes -= bytes;
         while (!buffers.isEmpty() && !buffers.peek().hasRemaining()) {
             buffers.poll();
         }
@@ -59,18 +66,19 @@
         return buffers.isEmpty();
     }
 
-    /** Bytes queued and not yet taken. */
+    /** Returns the number of queued bytes that the kernel has not taken yet. */
     long pendingBytes() {
-        return pending;
+        return pendingBytes;
     }
 
-    /** Bytes that the kernel has taken since the connection began; it never falls. */
+    /** Returns the number of bytes that the kernel has taken since the connection began. */
     long writtenBytes() {
-        return written;
+        return writtenBytes;
     }
 
+    /** Drops all queued output; the count of written bytes stays. */
     void clear() {
         buffers.clear();
-        pending = 0;
+        pendingBytes = 0;
     }
 }
--- a/src/main/java/waytrestle/net/RetryTimer.java
+++ b/src/main/java/waytrestle/net/RetryTimer.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Tries one direction of a connection again after failures, as {@link TransferRetry} says. */
+/**
+ * Tries the reads or the writes of one connection again after failures, at the delays of {@link
+ * TransferRetry}, and counts each failure. Used on the loop's thread.
+ */
 final class RetryTimer {
     private final Loop loop;
     private final String operation;
@@ -11,39 +14,48 @@
     private boolean pending;
 
     /**
-     * Creates it without a failure.
+     * Creates a timer for an operation that is not failing.
      *
-     * @param operation as faults are counted by
-     * @param patienceMicros how long the transfer may go on failing
+     * @param operation name under which failures are counted, as in {@code client.read}
+     * @param retryTimeoutMicros longest time for which the operation may go on failing
      * @param resume tries the transfer again
      */
-    RetryTimer(Loop loop, String operation, long patienceMicros, Runnable resume) {
-        this.retry = new TransferRetry(patienceMicros);
+    RetryTimer(Loop loop, String operation, long retryTimeoutMicros, Runnable resume) {
+        this.retry = new TransferRetry(retryTimeoutMicros);
         this.loop = loop;
         this.operation = operation;
         this.resume = resume;
     }
 
-    /** Whether a further try is waited for: until then nothing is to be transferred. */
+    /**
+     * Returns whether the next try is scheduled. Until then the connection must not transfer
+     * anything in this direction.
+     */
     boolean isPending() {
         return pending;
     }
 
+    /** Records that the operation has not failed. */
     void recordSuccess() {
         retry.recordSuccess();
     }
 
-    /** Notes a failure; false where it has gone on for too long to try again. */
+    /**
+     * Records a failure and schedules the next try.
+     *
+     * @return false if the operation has failed for longer than the retry timeout, so that there is
+     *     no further try
+     */
     boolean recordFailure(IOException error) {
-        long backoff = retry.recordFailure(Loop.nowMicros());
-        if (backoff == TransferRetry.GIVE_UP) {
+        long backoffMicros = retry.recordFailure(Loop.nowMicros());
+        if (backoffMicros == TransferRetry.GIVE_UP) {
             loop.faults().count(operation, "given_up", error);
             return false;
         }
         loop.faults().count(operation, "retried", error);
         if (!pending) {
             pending = true;
-            loop.after(backoff, this::tryAgain);
+            loop.after(backoffMicros, this::tryAgain);
         }
         return true;
     }
--- a/src/main/java/waytrestle/net/SocketAddresses.java
+++ b/src/main/java/waytrestle/net/SocketAddresses.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads and writes socket addresses as text: {@code 127.0.0.1:8080} or {@code [::1]:8080}. */
+/** Parses and formats socket addresses as text: {@code 127.0.0.1:8080} or {@code [::1]:8080}. */
 public final class SocketAddresses {
     private static final Pattern PORT = Pattern.compile("\\d{1,5}");
     private static final Pattern IPV4_HOST = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
@@ -17,7 +17,10 @@
 
     private SocketAddresses() {}
 
-    /** Reads an IP address with a port. Empty where the text is none; host names are not taken. */
+    /**
+     * Parses an IP address with a port. Returns empty for any other text, also for a host name with
+     * a port.
+     */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !PORT.matcher(text.substring(colon + 1)).matches()) {
@@ -35,19 +38,22 @@
         }
     }
 
-    /** Writes an address so that {@link #parse} reads it; also the id of the invoker there. */
+    /**
+     * Formats an address so that {@link #parse} reads it back. The text also serves as the id of
+     * the invoker at this address.
+     */
     public static String format(InetSocketAddress address) {
         return format(address.getAddress().getHostAddress(), address.getPort());
     }
 
-    /** Joins an IP address and a port; an IPv6 address is put in brackets. */
+    /** Returns an IP address and a port joined by a colon; an IPv6 address is put in brackets. */
     public static String format(String ipAddress, int port) {
         boolean ipv6 = ipAddress.indexOf(':') >= 0;
         String host = ipv6 ? "[" + ipAddress + "]" : ipAddress;
         return host + ":" + port;
     }
 
-    /** The address of a channel's peer, for the log. */
+    /** Returns the address of a channel's peer for the log, {@code unknown} on a closed channel. */
     static String remoteAddress(SocketChannel channel) {
         try {
             return String.valueOf(channel.getRemoteAddress());
--- a/src/main/java/waytrestle/net/Transfer.java
+++ b/src/main/java/waytrestle/net/Transfer.java
@@ -3,25 +3,25 @@
 import java.io.IOException;
 
 /**
- * What one read or write on a socket came to. Bytes that the kernel has taken or given are counted
- * in {@link Status#PROGRESS} alone, so that no failure ever counts as bytes.
+ * Result of one read or write on a socket. Only a result with {@link Status#PROGRESS} has a number
+ * of bytes, so that the error code of a failed call is never counted as bytes.
  *
- * @param bytes transferred; 0 without progress
- * @param error what failed, null where nothing did
+ * @param bytes number of transferred bytes; 0 without progress
+ * @param error the failure with {@link Status#FAILED} and {@link Status#BROKEN}, null otherwise
  */
 record Transfer(Status status, long bytes, IOException error) {
-    /** How the call ended. */
+    /** How the read or write ended. */
     enum Status {
-        /** Some bytes were transferred, perhaps fewer than wanted. */
+        /** At least one byte was transferred, perhaps fewer than requested. */
         PROGRESS,
-        /** The kernel has nothing to give, or no room, at the moment. */
+        /** The kernel has no input, or no space for output, at the moment. */
         WOULD_BLOCK,
         /**
-         * The call failed and transferred nothing. Whether the connection is broken is not known: a
-         * broken one says so when the call is made again.
+         * The call failed and transferred nothing. Whether the connection is broken is not known;
+         * if it is, a later read reports it.
          */
         FAILED,
-        /** The peer has ended its side. */
+        /** The peer has ended its side of the connection; only a read reports that. */
         ENDED,
         /** The connection is broken for good. */
         BROKEN
--- a/src/main/java/waytrestle/net/UnreadInput.java
+++ b/src/main/java/waytrestle/net/UnreadInput.java
@@ -5,90 +5,103 @@
 import java.util.function.Consumer;
 
 /**
- * The input of one connection that its handler has not taken yet, up to a bound, and since when it
- * can have waited. Free of I/O.
+ * Hands the input of one connection to its handler and keeps, in bytes, what the handler does not
+ * take, together with the earliest time at which that input can have arrived. Does no I/O; times
+ * are monotonic microseconds. Not thread-safe: used on the loop's thread.
  */
 final class UnreadInput {
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    private final int bound;
+    private final int maxBytes;
     private final Consumer<ByteBuffer> handler;
     private final BooleanSupplier open;
-    private ByteBuffer kept = EMPTY;
-    private long offeredSince;
-    private long keptSince;
+    private ByteBuffer unread = EMPTY;
+    private long offeredSinceMicros;
+    private long unreadSinceMicros;
     private boolean offering;
 
     /**
-     * Creates it empty.
+     * Creates an empty instance.
      *
-     * @param open whether the handler still wants input
+     * @param maxBytes number of unread bytes from which on the connection stops reading
+     * @param handler takes what it wants from a buffer by advancing its position
+     * @param open returns whether the connection is open, so that its handler still wants input
      */
-    UnreadInput(int bound, Consumer<ByteBuffer> handler, BooleanSupplier open) {
-        this.bound = bound;
+    UnreadInput(int maxBytes, Consumer<ByteBuffer> handler, BooleanSupplier open) {
+        this.maxBytes = maxBytes;
         this.handler = handler;
         this.open = open;
     }
 
+    /** Returns the number of unread bytes. */
     int unreadBytes() {
-        return kept.remaining();
+        return unread.remaining();
     }
 
-    /** Bytes that may still be kept. */
+    /** Returns the number of bytes that may still be unread; 0 or less at the limit. */
     int freeBytes() {
-        return bound - kept.remaining();
+        return maxBytes - unread.remaining();
     }
 
-    /** Whether the handler is being offered input at the moment. */
+    /** Returns whether a call of the handler is in progress. */
     boolean isOffering() {
         return offering;
     }
 
-    /** The earliest time at which the input now offered can have come. */
+    /** Returns the earliest time at which the input offered last can have arrived. */
     long offeredSinceMicros() {
-        return offeredSince;
+        return offeredSinceMicros;
     }
 
-    /** Hands new input over behind what is kept; what the handler leaves is kept. */
-    void add(ByteBuffer in, long sinceMicros) {
-        if (kept.hasRemaining()) {
-            ByteBuffer joined = ByteBuffer.allocate(kept.remaining() + in.remaining());
-            kept = joined.put(kept).put(in).flip();
+    /**
+     * Hands new input to the handler, after the unread input if there is any, and keeps what the
+     * handler does not take.
+     *
+     * @param in the new input, copied as far as it is kept
+     * @param earliestArrivalMicros earliest time at which the new input can have arrived
+     */
+    void add(ByteBuffer in, long earliestArrivalMicros) {
+        if (unread.hasRemaining()) {
+            ByteBuffer joined = ByteBuffer.allocate(unread.remaining() + in.remaining());
+            unread = joined.put(unread).put(in).flip();
             offerAgain();
             return;
         }
         offering = true;
-        offeredSince = sinceMicros;
+        offeredSinceMicros = earliestArrivalMicros;
         try {
             handler.accept(in);
         } finally {
             offering = false;
         }
         if (in.hasRemaining() && open.getAsBoolean()) {
-            keptSince = offeredSince;
-            kept = ByteBuffer.allocate(in.remaining()).put(in).flip();
+            unreadSinceMicros = offeredSinceMicros;
+            unread = ByteBuffer.allocate(in.remaining()).put(in).flip();
         }
     }
 
-    /** Offers what is kept again, for as long as the handler takes some of it. */
+    /** Offers the unread input to the handler again, repeatedly while it takes some of it. */
     void offerAgain() {
         offering = true;
-        offeredSince = keptSince;
+        offeredSinceMicros = unreadSinceMicros;
         try {
-            int before = -1;
-            while (open.getAsBoolean() && kept.hasRemaining() && kept.remaining() != before) {
-                before = kept.remaining();
-                handler.accept(kept);
+            int remainingBefore = -1;
+            while (open.getAsBoolean()
+                    && unread.hasRemaining()
+                    && unread.remaining() != remainingBefore) {
+                remainingBefore = unread.remaining();
+                handler.accept(unread);
             }
         } finally {
             offering = false;
         }
-        if (!kept.hasRemaining()) {
-            kept = EMPTY;
+        if (!unread.hasRemaining()) {
+            unread = EMPTY;
         }
     }
 
+    /** Drops the unread input. */
     void clear() {
-        kept = EMPTY;
+        unread = EMPTY;
     }
 }
