--- a/src/main/java/waytrestle/net/Loop.java
+++ b/src/main/java/waytrestle/net/Loop.java
@@ -15,137 +15,182 @@
 import java.util.function.Consumer;
 
 /**
- * One selector and one thread: everything registered here runs on that thread, so nothing behind it
- * needs a lock. Nothing that runs here may block. Only {@link #execute} and {@link #stop} may be
- * called from elsewhere.
+ * An event loop: one selector and one thread, which runs the callbacks of the registered channels,
+ * the due timers and the submitted tasks. State that only they use needs no lock, and none of them
+ * may block. Times are monotonic microseconds of {@link #nowMicros}.
+ *
+ * <p>A turn of the loop is one selection, which waits until a channel is ready, a timer is due or a
+ * task is submitted, and then the run of all that. Once the loop is started, a method may be called
+ * on the loop's thread only, unless its comment allows any thread.
  */
 public final class Loop implements Runnable {
-    /** A task of the loop's own that may fail on a channel. */
+    /** A task that may fail with an {@link IOException}. */
     interface Task {
         void run() throws IOException;
     }
 
-    private static final int READ_BUFFER =
-            64 * 1024; // bytes: one read takes what a socket usually holds
-    private static final int MAX_DELAYED_CLOSES =
-            16; // descriptors: a crowd of broken connections must not use them up
-    private static final long MAX_WAIT =
-            1_000_000; // micros: a wake-up that the kernel refused is made up for then
+    /** One read of this size takes all that a socket usually holds. */
+    private static final int READ_BUFFER_BYTES = 64 * 1024;
 
-    /** A loop behind by more looks again before it acts for a client. */
+    /**
+     * Most broken connections whose close is delayed at a time. Each holds a file descriptor, and
+     * many broken connections must not use up all descriptors.
+     */
+    private static final int MAX_DELAYED_CLOSES = 16;
+
+    /** Longest wait of a selection: it bounds the delay when the kernel refuses a wake-up. */
+    private static final long MAX_WAIT_MICROS = 1_000_000;
+
+    /**
+     * Input may have lain in the kernel unseen for up to this time. If it may have lain there for
+     * longer, the channels are read again before a client's request is acted on.
+     */
     static final long BEHIND_THRESHOLD_MICROS = 50_000;
 
-    private static final int MAX_FURTHER_LOOKS =
-            3; // a process that is stopped in each of them handles what it has found
-    private static final long FAILED_SELECTION_PAUSE =
-            5_000_000; // nanos between looks at all channels while the selector fails
+    /**
+     * Most selections that are repeated in one turn because the process was stopped (SIGSTOP, a
+     * frozen container) during the one before. After the last, the turn handles what was found.
+     */
+    private static final int MAX_REPEATED_SELECTIONS = 3;
+
+    /** A loop that busy-polls selects without waiting if the next timer is due in less. */
+    private static final long BUSY_POLL_BELOW_WAIT_MICROS = 1_500;
+
+    /** While the selector fails, all channels are assumed ready at this interval. */
+    private static final long FAILED_SELECTION_PAUSE_NANOS = 5_000_000;
 
     private final String name;
     private final Selector selector;
     private final TimerHeap timers = new TimerHeap();
-    private final ConcurrentLinkedQueue<Runnable> handed = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER);
+    private final ConcurrentLinkedQueue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     private final ByteBuffer oneByte = ByteBuffer.allocateDirect(1);
-    private final Consumer<Throwable> broken;
+    private final Consumer<Throwable> failureHandler;
     private final SystemFaults faults = new SystemFaults();
-    private final List<Runnable> atEnd = new ArrayList<>();
-    private boolean precise;
+    private final List<Runnable> endTasks = new ArrayList<>();
+    private boolean busyPollsShortWaits;
     private int delayedCloses;
     private volatile boolean running = true;
     private volatile boolean ended;
     private volatile boolean failed;
     private Thread thread;
     private final AtomicLong turns = new AtomicLong();
-    private final SelectionClock selection = new SelectionClock(nowMicros());
+    private final SelectionClock selectionClock = new SelectionClock(nowMicros());
 
-    /** What a handler throws is given to {@code broken}; the loop itself goes on. */
-    public Loop(String name, Consumer<Throwable> broken) throws IOException {
+    /**
+     * Creates a loop without starting its thread.
+     *
+     * @param name name of the loop's thread
+     * @param failureHandler is given what a handler or task throws, on the loop's thread; only an
+     *     {@link Error} other than {@link StackOverflowError} then ends the loop
+     * @throws IOException when the system refuses a selector
+     */
+    public Loop(String name, Consumer<Throwable> failureHandler) throws IOException {
         this.name = name;
-        this.broken = broken;
+        this.failureHandler = failureHandler;
         this.selector = Selector.open();
     }
 
-    /** Monotonic microseconds; never affected by a step of the wall clock. */
+    /**
+     * Returns monotonic microseconds since an arbitrary origin; a step of the wall clock does not
+     * affect them. May be called from any thread.
+     */
     public static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
     /**
-     * Polls through waits under a millisecond instead of rounding them up; costs a core, for
-     * measuring alone.
+     * Makes the loop select again and again without waiting while the next timer is due within 1.5
+     * ms, since a waiting selection rounds its wait up to whole milliseconds. Costs a processor
+     * core; meant for measurements only. To be called before the start.
      */
     public Loop busyPollShortWaits() {
-        precise = true;
+        busyPollsShortWaits = true;
         return this;
     }
 
-    /** Starts the thread. */
+    /** Starts the loop's thread. */
     public Loop start() {
         thread = new Thread(this, name);
         thread.start();
         return this;
     }
 
-    /** Waits for the thread to end, at most so long (0: without limit). */
+    /**
+     * Waits for the loop's thread to end, at most for {@code millis}; 0 waits without a limit. May
+     * be called from any other thread.
+     */
     public void join(long millis) throws InterruptedException {
         thread.join(millis);
     }
 
-    /** The loop ended by itself, not by {@link #stop}. */
+    /**
+     * Returns whether an {@link Error}, not {@link #stop}, has ended the loop. May be called from
+     * any thread.
+     */
     public boolean failed() {
         return failed;
     }
 
     /**
-     * When the selection before this turn's returned. What is found ready in this turn came after
-     * that, so it is the earliest that it can have waited: a loop that was slow, stalled or just
-     * started knows how long at most.
+     * Returns when the selection before the present turn's returned. What the present turn finds
+     * ready became ready after that time, so this is the earliest time at which it can have
+     * arrived, also when the loop was slow, stalled or just started.
      */
     public long previousSelectionMicros() {
-        return selection.previousSelectionMicros();
+        return selectionClock.previousSelectionMicros();
     }
 
-    /** When this turn's selection returned. */
+    /** Returns when the present turn's selection returned. */
     public long currentSelectionMicros() {
-        return selection.currentSelectionMicros();
+        return selectionClock.currentSelectionMicros();
     }
 
     /**
-     * Micros for which something may have lain in the kernel unseen, since the loop was busy
-     * elsewhere.
+     * Returns for how many microseconds input may have lain in the kernel unseen, because the loop
+     * was busy or the process was stopped.
      */
     public long unseenMicros() {
-        return selection.unseenMicros(nowMicros());
+        return selectionClock.unseenMicros(nowMicros());
     }
 
-    /** Number of turns completed. May be called from any thread. */
+    /** Returns the number of completed turns. May be called from any thread. */
     long completedTurns() {
         return turns.get();
     }
 
-    /** Whether it runs no more. May be called from any thread. */
+    /** Returns whether the loop runs no further turn. May be called from any thread. */
     boolean hasEnded() {
         return ended;
     }
 
-    /** Where its thread is now. May be called from any thread, after the start. */
+    /**
+     * Returns the present stack of the loop's thread. May be called from any thread, after the
+     * start.
+     */
     StackTraceElement[] stackTrace() {
         return thread.getStackTrace();
     }
 
-    /** Whether that is so long that what has come may forbid what is about to be done. */
+    /**
+     * Returns whether {@link #unseenMicros} is so long that input still in the kernel may forbid
+     * what the caller is about to do, as in the news that a client has gone.
+     */
     public boolean isBehind() {
         return unseenMicros() > BEHIND_THRESHOLD_MICROS;
     }
 
-    /** Counts of the system calls that failed on this loop. */
+    /** Returns the counter of the system calls that failed on this loop. */
     public SystemFaults faults() {
         return faults;
     }
 
-    /** Runs a task on the loop soon, from any thread. */
+    /**
+     * Submits a task to be run on the loop's thread as soon as possible. A task submitted to a loop
+     * that has ended never runs. May be called from any thread.
+     */
     public void execute(Runnable task) {
-        handed.add(task);
+        submittedTasks.add(task);
         if (!ended) {
             wakeUp();
         }
@@ -155,45 +200,54 @@
         try {
             selector.wakeup();
         } catch (InternalError e) {
-            // The kernel refused it; the loop looks for itself within MAX_WAIT.
+            // The kernel refused the wake-up; the selection returns within MAX_WAIT_MICROS anyway.
         }
     }
 
-    /** Runs a task after the delay, on the loop; the returned timer can be cancelled there. */
-    public TimerHeap.Timer after(long micros, Runnable task) {
-        return timers.add(nowMicros() + Math.max(0, micros), task);
+    /**
+     * Schedules a task to run on the loop's thread after a delay in microseconds; a negative delay
+     * counts as 0.
+     *
+     * @return the timer, which can be cancelled on the loop's thread
+     */
+    public TimerHeap.Timer after(long delayMicros, Runnable task) {
+        return timers.add(nowMicros() + Math.max(0, delayMicros), task);
     }
 
-    /** Number of timers that are not due yet. */
+    /** Returns the number of timers that have neither run nor been cancelled. */
     public int timerCount() {
         return timers.liveCount();
     }
 
-    /** Whether a further channel may be kept open beyond its use: there is a bound on them. */
+    /** Returns whether fewer closes than the limit are delayed, so that one more may be. */
     boolean mayDelayClose() {
         return delayedCloses < MAX_DELAYED_CLOSES;
     }
 
-    /** Closes a channel after the delay. */
-    void closeAfter(long micros, SelectableChannel channel) {
+    /** Closes a channel after a delay; to be called only if {@link #mayDelayClose} allows it. */
+    void closeAfter(long delayMicros, SelectableChannel channel) {
         delayedCloses++;
         after(
-                micros,
+                delayMicros,
                 () -> {
                     delayedCloses--;
                     runGuarded(channel::close);
                 });
     }
 
-    /** Runs when the loop stops, on its thread. */
+    /**
+     * Adds a task to be run on the loop's thread when the loop ends, before its channels are
+     * closed.
+     */
     public void addEndTask(Runnable task) {
-        atEnd.add(task);
+        endTasks.add(task);
     }
 
     /**
-     * Registers a channel, whose readiness its handler hears of from now on. May be called from any
-     * thread.
+     * Registers a channel with the selector. From now on the handler is called when the channel is
+     * ready for one of the operations. May be called from any thread.
      *
+     * @param operations bits of {@link SelectionKey}
      * @throws IOException when the channel cannot be made non-blocking or is closed
      */
     public Registration register(
@@ -206,7 +260,10 @@
         return registration;
     }
 
-    /** What fails for a moment is tried once more: an open channel must not be lost by it. */
+    /**
+     * Sets a channel to non-blocking, with one more try after a failure: a momentary failure of the
+     * system must not cost an open channel.
+     */
     private void configureNonBlocking(SelectableChannel channel) throws IOException {
         try {
             channel.configureBlocking(false);
@@ -219,21 +276,22 @@
     }
 
     /**
-     * Room for one byte: a handler that looks at another connection still has the read buffer in
-     * use.
+     * Returns the loop's buffer of one byte, cleared. For a handler that checks another connection
+     * while the read buffer still holds its own input.
      */
     ByteBuffer oneByteBuffer() {
         return oneByte.clear();
     }
 
     /**
-     * The loop's one read buffer, empty; its contents must be used up before the handler returns.
+     * Returns the loop's only read buffer, cleared. Its contents must be consumed or copied before
+     * the handler returns.
      */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
-    /** Ends the loop after its present turn. May be called from any thread. */
+    /** Makes the loop end after its present turn. May be called from any thread. */
     public void stop() {
         running = false;
         if (!ended) {
@@ -251,21 +309,21 @@
             }
         } catch (Error e) {
             failed = true;
-            broken.accept(e);
+            failureHandler.accept(e);
         } finally {
             ended = true;
-            atEnd.forEach(task -> runGuarded(task::run));
+            endTasks.forEach(task -> runGuarded(task::run));
             for (SelectionKey key : selector.keys()) {
                 try {
                     key.channel().close();
                 } catch (IOException ignored) {
-                    // closing at the end: there is nobody left to tell
+                    // The loop ends, so nothing uses the channel any more.
                 }
             }
             try {
                 selector.close();
             } catch (IOException e) {
-                broken.accept(e);
+                failureHandler.accept(e);
             }
         }
     }
@@ -277,7 +335,7 @@
         } else {
             assumeAllReady();
         }
-        for (Runnable task = handed.poll(); task != null; task = handed.poll()) {
+        for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
             runGuarded(task::run);
         }
         long now = nowMicros();
@@ -287,10 +345,11 @@
     }
 
     /**
-     * Waits until something is ready or due. A selector that fails ends nothing: whether it fails
-     * for a moment or for good, all channels are looked at instead, after a pause.
+     * Waits until a channel is ready, a timer is due or a task is submitted. If the selector fails,
+     * whether for a moment or for good, the loop pauses and goes on; the caller then assumes all
+     * channels ready.
      *
-     * @return whether the selection worked
+     * @return whether the selection succeeded
      */
     private boolean selectOrPause() {
         try {
@@ -298,29 +357,31 @@
             return true;
         } catch (IOException e) {
             faults.count("selector.select", "looked_at_all", e);
-            LockSupport.parkNanos(FAILED_SELECTION_PAUSE);
-            selection.selectionFailed(nowMicros());
+            LockSupport.parkNanos(FAILED_SELECTION_PAUSE_NANOS);
+            selectionClock.selectionFailed(nowMicros());
             return false;
         }
     }
 
     private void select() throws IOException {
         long begin = nowMicros();
-        long wait = Math.min(MAX_WAIT, timers.microsUntilNext(begin));
-        if (!handed.isEmpty()) {
-            wait = 0;
+        long waitMicros = Math.min(MAX_WAIT_MICROS, timers.microsUntilNext(begin));
+        if (!submittedTasks.isEmpty()) {
+            waitMicros = 0;
         }
-        boolean atOnce = wait == 0 || (precise && wait < 1_500);
-        boolean turnWasLong = selection.begin(begin);
+        boolean atOnce =
+                waitMicros == 0
+                        || (busyPollsShortWaits && waitMicros < BUSY_POLL_BELOW_WAIT_MICROS);
+        boolean turnWasLong = selectionClock.begin(begin);
         int found = atOnce || turnWasLong ? selector.selectNow() : 0;
         if (!atOnce && found == 0) {
-            selection.expectWait(wait);
-            selector.select(Math.max(1, (wait + 999) / 1_000));
+            selectionClock.expectWait(waitMicros);
+            selector.select(Math.max(1, (waitMicros + 999) / 1_000)); // millis, rounded up
         }
-        boolean wasStopped = selection.end(nowMicros());
-        for (int looks = 0; wasStopped && looks < MAX_FURTHER_LOOKS; looks++) {
+        boolean wasStopped = selectionClock.end(nowMicros());
+        for (int repeated = 0; wasStopped && repeated < MAX_REPEATED_SELECTIONS; repeated++) {
             selector.selectNow();
-            wasStopped = selection.end(nowMicros());
+            wasStopped = selectionClock.end(nowMicros());
         }
     }
 
@@ -341,12 +402,14 @@
         }
     }
 
-    /** Runs a task; what it throws ends nothing but the task. */
+    /**
+     * Runs a task and hands an exception or stack overflow that it throws to the failure handler.
+     */
     void runGuarded(Task task) {
         try {
             task.run();
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            broken.accept(e);
+            failureHandler.accept(e);
         }
     }
 }
--- a/src/main/java/waytrestle/net/Registration.java
+++ b/src/main/java/waytrestle/net/Registration.java
@@ -5,24 +5,28 @@
 import java.nio.channels.SelectionKey;
 
 /**
- * A channel's registration with a loop. The JDK does not report that the kernel has refused a
- * registration or a change of it (epoll_ctl fails with ENOMEM or ENOSPC): nothing would ever be
- * heard of the channel again. So after each change the channel is looked at as if it were ready, at
- * growing intervals, and is registered anew, until what was added has been reported once.
+ * Registration of a channel with an event loop. Used on the loop's thread.
+ *
+ * <p>The JDK does not report that the kernel has refused a registration or a change of it
+ * (epoll_ctl fails with ENOMEM or ENOSPC); the selector would never report the channel as ready
+ * again. So after each change the registration calls the handler as if the channel were ready, at
+ * growing intervals, and sets its operations with the selector again, until the selector has
+ * reported each added operation once.
  */
 public final class Registration {
-    /** First look after a change: readiness of what is in use is reported sooner. */
-    private static final long FIRST_CHECK_MICROS = 100_000;
+    /** Delay of the first check after a change. A channel in use is reported as ready sooner. */
+    private static final long FIRST_CHECK_DELAY_MICROS = 100_000;
 
-    private static final long MAX_CHECK_MICROS = 1_000_000;
+    private static final long MAX_CHECK_DELAY_MICROS = 1_000_000;
 
-    /** The least delay that lets the loop select once before. */
-    private static final long NEXT_TURN_MICROS = 1;
+    /** Shortest delay after which a timer runs in a later turn, that is after another selection. */
+    private static final long NEXT_TURN_DELAY_MICROS = 1;
 
-    /** What is called when a channel is ready. */
+    /** Handles the readiness of a channel, on the loop's thread. */
     public interface Handler {
         /**
-         * Handles readiness, which may turn out not to be.
+         * Handles operations that are probably ready. Each may turn out not to be, so the handler
+         * must not rely on it.
          *
          * @param operations bits of {@link SelectionKey}
          */
@@ -34,22 +38,30 @@
     private SelectionKey key;
     private int operations;
 
-    /** What the kernel may not know of: nothing of it has been reported since it was asked for. */
-    private int unconfirmed;
+    /**
+     * Requested operations that the selector has not reported since they were added, so that the
+     * kernel may not have registered them; bits of {@link SelectionKey}.
+     */
+    private int unconfirmedOperations;
 
     private boolean checkPending;
-    private long checkMicros = FIRST_CHECK_MICROS;
+    private long checkDelayMicros = FIRST_CHECK_DELAY_MICROS;
 
     Registration(Loop loop, int operations, Handler handler) {
         this.loop = loop;
         this.operations = operations;
-        this.unconfirmed = operations;
+        this.unconfirmedOperations = operations;
         this.handler = handler;
     }
 
-    /** Sets the key that stands for it; on the loop's thread, or handed to it. */
-    void attach(SelectionKey attached, boolean onLoop) {
-        key = attached;
+    /**
+     * Sets the selector's key of this registration and schedules the first check. May be called
+     * from any thread.
+     *
+     * @param onLoop whether the caller runs on the loop's thread
+     */
+    void attach(SelectionKey selectionKey, boolean onLoop) {
+        key = selectionKey;
         if (onLoop) {
             scheduleCheck();
         } else {
@@ -57,47 +69,54 @@
         }
     }
 
+    /** Returns whether neither the registration was cancelled nor the channel closed. */
     boolean isValid() {
         return key.isValid();
     }
 
-    /** What is to be reported, as bits of {@link SelectionKey}. */
+    /** Returns the requested operations, as bits of {@link SelectionKey}. */
     public int operations() {
         return operations;
     }
 
-    /** Changes what is to be reported. */
-    public void setOperations(int wanted) {
-        if (wanted == operations || !key.isValid()) {
+    /**
+     * Sets the operations whose readiness is to be reported, as bits of {@link SelectionKey}. Does
+     * nothing after a cancel or close.
+     */
+    public void setOperations(int requested) {
+        if (requested == operations || !key.isValid()) {
             return;
         }
-        unconfirmed = wanted & (unconfirmed | ~operations);
-        operations = wanted;
-        apply(wanted);
-        checkMicros = FIRST_CHECK_MICROS;
+        unconfirmedOperations = requested & (unconfirmedOperations | ~operations);
+        operations = requested;
+        apply(requested);
+        checkDelayMicros = FIRST_CHECK_DELAY_MICROS;
         scheduleCheck();
     }
 
-    private void apply(int wanted) {
+    private void apply(int requested) {
         try {
-            key.interestOps(wanted);
+            key.interestOps(requested);
         } catch (CancelledKeyException e) {
-            // Closed meanwhile: nothing is to be reported any more.
+            // The channel was closed meanwhile, so no readiness is to be reported any more.
         }
     }
 
-    /** Ends the registration. */
+    /** Ends the registration; the channel stays open. */
     public void cancel() {
         key.cancel();
     }
 
-    /** The selector has reported readiness, so the kernel knows of that part. */
+    /**
+     * Handles readiness that the selector has reported, which confirms that the kernel knows of
+     * these operations.
+     */
     void handleReported(int ready) throws IOException {
-        unconfirmed &= ~ready;
+        unconfirmedOperations &= ~ready;
         handler.ready(ready);
     }
 
-    /** Calls the handler as if everything wanted were ready. */
+    /** Calls the handler as if all requested operations were ready. */
     void assumeReady() throws IOException {
         if (key.isValid() && operations != 0) {
             handler.ready(operations);
@@ -105,18 +124,18 @@
     }
 
     private void scheduleCheck() {
-        if (!checkPending && unconfirmed != 0) {
+        if (!checkPending && unconfirmedOperations != 0) {
             checkPending = true;
-            loop.after(checkMicros, this::check);
+            loop.after(checkDelayMicros, this::check);
         }
     }
 
     private void check() {
         checkPending = false;
-        if (unconfirmed == 0 || !key.isValid()) {
+        if (unconfirmedOperations == 0 || !key.isValid()) {
             return;
         }
-        checkMicros = Math.min(MAX_CHECK_MICROS, 2 * checkMicros);
+        checkDelayMicros = Math.min(MAX_CHECK_DELAY_MICROS, 2 * checkDelayMicros);
         registerAnew();
         scheduleCheck();
         loop.runGuarded(this::assumeReady);
@@ -125,7 +144,7 @@
     private void registerAnew() {
         apply(0);
         loop.after(
-                NEXT_TURN_MICROS,
+                NEXT_TURN_DELAY_MICROS,
                 () -> {
                     if (key.isValid()) {
                         apply(operations);
--- a/src/main/java/waytrestle/net/SelectionClock.java
+++ b/src/main/java/waytrestle/net/SelectionClock.java
@@ -1,90 +1,103 @@
 package waytrestle.net;
 
 /**
- * Tells how long what a selection of an event loop has found may have lain in the kernel unseen.
+ * Computes for how long the input that a selection of an event loop finds may have lain in the
+ * kernel unseen.
  *
- * <p>Guards against acting on what is outdated: a process that was busy or stopped (SIGSTOP, a
- * frozen container) finds requests beside the events that forbid to run them, and clients beside
- * the news that they have gone.
+ * <p>Guards against acting on outdated input. A process that was busy or stopped (SIGSTOP, a frozen
+ * container) finds requests together with events that forbid running them, and requests of clients
+ * together with the end of these clients' connections.
  *
- * <p>A turn of the loop is {@link #begin}, perhaps {@link #expectWait}, then {@link #end}, which
- * asks for a further look at all channels until one was not interrupted by a stop.
+ * <p>In each turn the loop calls {@link #begin}, {@link #expectWait} if it is going to wait, and
+ * {@link #end} after the selection. While {@code end} reports that the process was stopped, the
+ * loop selects again without waiting and calls {@code end} again, up to a limit.
  *
- * <p>Free of I/O and threads; all times are monotonic microseconds. Not thread-safe: used by its
- * event loop.
+ * <p>Does no I/O and reads no clock; all times are monotonic microseconds. Not thread-safe: used on
+ * the loop's thread.
  */
 final class SelectionClock {
-    /** What came during a shorter turn or a shorter delay of the process counts as just come. */
+    /**
+     * A turn, or a selection without waiting, that lasts longer counts as long. Input that arrived
+     * during a shorter one counts as just arrived.
+     */
     private static final long LONG_TURN_MICROS = 10_000;
 
-    private long selectedAtMicros;
-    private long selectedBeforeMicros;
-    private long beganAtMicros;
-    private long allowedMicros;
-    private boolean findsWhatJustCame;
+    private long currentSelectionMicros;
+    private long previousSelectionMicros;
+    private long selectionBeganMicros;
+    private long maxSelectionMicros;
+    private boolean inputJustArrived;
 
     SelectionClock(long nowMicros) {
-        selectedAtMicros = nowMicros;
-        selectedBeforeMicros = nowMicros;
+        currentSelectionMicros = nowMicros;
+        previousSelectionMicros = nowMicros;
     }
 
     /**
-     * A selection begins.
+     * Records that the selection of a new turn begins.
      *
-     * @return whether to look without waiting first, since what came during the last turn would
-     *     pass for what comes during the wait
+     * @return whether the loop has to select without waiting first, because the turn before was
+     *     long: a waiting selection would make input that arrived during that turn look as if it
+     *     had arrived during the wait
      */
     boolean begin(long nowMicros) {
-        boolean turnWasLong = nowMicros - selectedAtMicros > LONG_TURN_MICROS;
-        selectedBeforeMicros = selectedAtMicros;
-        findsWhatJustCame = false;
-        expectShortLook(nowMicros);
+        boolean turnWasLong = nowMicros - currentSelectionMicros > LONG_TURN_MICROS;
+        previousSelectionMicros = currentSelectionMicros;
+        inputJustArrived = false;
+        expectNoWait(nowMicros);
         return turnWasLong;
     }
 
-    /** Nothing was found; the selection waits for at most so long. */
-    void expectWait(long micros) {
-        allowedMicros += micros;
-        findsWhatJustCame = true;
+    /** Records that nothing was found so far and that the loop waits for at most this time. */
+    void expectWait(long maxWaitMicros) {
+        maxSelectionMicros += maxWaitMicros;
+        inputJustArrived = true;
     }
 
     /**
-     * A selection or a further look has ended.
+     * Records that a selection has ended.
      *
-     * @return whether the process was stopped meanwhile: it may have found only what came before
-     *     the stop, so all channels are to be looked at again in the same turn
+     * @return whether the process was stopped during the selection. The selection may then have
+     *     found only input that arrived before the stop, so the loop has to select again in the
+     *     same turn.
      */
     boolean end(long nowMicros) {
-        boolean wasStopped = nowMicros - beganAtMicros > allowedMicros;
-        selectedAtMicros = nowMicros;
-        findsWhatJustCame &= !wasStopped;
-        expectShortLook(nowMicros);
+        boolean wasStopped = nowMicros - selectionBeganMicros > maxSelectionMicros;
+        currentSelectionMicros = nowMicros;
+        inputJustArrived &= !wasStopped;
+        expectNoWait(nowMicros);
         return wasStopped;
     }
 
-    /** The selection failed: when the channels were last looked at is not known. */
+    /**
+     * Records that the selection failed. Input may have lain in the kernel since the selection of
+     * the turn before.
+     */
     void selectionFailed(long nowMicros) {
-        selectedAtMicros = nowMicros;
-        findsWhatJustCame = false;
+        currentSelectionMicros = nowMicros;
+        inputJustArrived = false;
     }
 
-    /** When this turn's selection ended. */
+    /** Returns when the present turn's last selection ended. */
     long currentSelectionMicros() {
-        return selectedAtMicros;
+        return currentSelectionMicros;
     }
 
-    /** When the selection before it ended: what this turn has found came after that. */
+    /**
+     * Returns when the last selection of the turn before ended. What the present turn has found
+     * arrived after that time.
+     */
     long previousSelectionMicros() {
-        return selectedBeforeMicros;
+        return previousSelectionMicros;
     }
 
-    /** For how long something may have lain in the kernel unseen. */
+    /** Returns for how long input may have lain in the kernel unseen at the given time. */
     long unseenMicros(long nowMicros) {
-        return nowMicros - (findsWhatJustCame ? selectedAtMicros : selectedBeforeMicros);
+        return nowMicros - (inputJustArrived ? currentSelectionMicros : previousSelectionMicros);
     }
 
-    private void expectShortLook(long nowMicros) {
-        beganAtMicros = nowMicros;
-        allowedMicros = LONG_TURN_MICROS;
+    private void expectNoWait(long nowMicros) {
+        selectionBeganMicros = nowMicros;
+        maxSelectionMicros = LONG_TURN_MICROS;
     }
 }
--- a/src/main/java/waytrestle/net/StallDetector.java
+++ b/src/main/java/waytrestle/net/StallDetector.java
@@ -1,48 +1,58 @@
 package waytrestle.net;
 
 /**
- * Tells from regular observations of how many turns an event loop has completed whether it is
- * stuck. Time is counted in observations, not by a clock: while the whole process does not run
- * (SIGSTOP, a pause of the runtime) nobody observes, so that its pause is not taken for a stall.
+ * Decides whether an event loop is stuck, from regular observations of how many turns it has
+ * completed. Time is counted in observations, not by a clock: while the whole process does not run
+ * (SIGSTOP, a pause of the Java runtime) there are no observations, so that its pause is not taken
+ * for a stall of the loop.
  *
- * <p>Free of I/O, clocks and threads. Not thread-safe.
+ * <p>Does no I/O, reads no clock and starts no thread. Not thread-safe.
  */
 final class StallDetector {
-    /** What an observation tells. */
+    /** Result of an observation. */
     enum Verdict {
-        /** The loop runs, or has not been stuck for long. */
+        /** The loop completes turns, or there is nothing new to report. */
         RUNNING,
-        /** It has become stuck: told once for each stall. */
+        /** The loop has become stuck; returned once for each stall. */
         STALLED,
-        /** It runs again after a stall. */
+        /** The loop completes turns again after a stall. */
         RECOVERED,
-        /** It has been stuck for so long that it is given up. */
+        /** The loop has been stuck for so long that it is given up. */
         GIVEN_UP
     }
 
-    private final int stalledAfter;
-    private final int givenUpAfter;
-    private long lastTurns = -1;
+    private final int stalledAfterObservations;
+    private final int givenUpAfterObservations;
+    private long lastCompletedTurns = -1;
     private int observationsWithoutTurn;
 
-    /** Takes the numbers of observations in a row without a turn for which a verdict stands. */
-    StallDetector(int stalledAfter, int givenUpAfter) {
-        this.stalledAfter = stalledAfter;
-        this.givenUpAfter = givenUpAfter;
+    /**
+     * Creates a detector.
+     *
+     * @param stalledAfterObservations number of observations in a row without a completed turn that
+     *     make a stall
+     * @param givenUpAfterObservations number of observations in a row without a completed turn
+     *     after which the loop is given up
+     */
+    StallDetector(int stalledAfterObservations, int givenUpAfterObservations) {
+        this.stalledAfterObservations = stalledAfterObservations;
+        this.givenUpAfterObservations = givenUpAfterObservations;
     }
 
-    /** Takes in the number of turns that the loop has completed by now. */
-    Verdict observe(long turns) {
-        if (turns != lastTurns) {
-            lastTurns = turns;
-            boolean wasStalled = observationsWithoutTurn >= stalledAfter;
+    /** Observes the number of turns that the loop has completed since its start. */
+    Verdict observe(long completedTurns) {
+        if (completedTurns != lastCompletedTurns) {
+            lastCompletedTurns = completedTurns;
+            boolean wasStalled = observationsWithoutTurn >= stalledAfterObservations;
             observationsWithoutTurn = 0;
             return wasStalled ? Verdict.RECOVERED : Verdict.RUNNING;
         }
         observationsWithoutTurn++;
-        if (observationsWithoutTurn >= givenUpAfter) {
+        if (observationsWithoutTurn >= givenUpAfterObservations) {
             return Verdict.GIVEN_UP;
         }
-        return observationsWithoutTurn == stalledAfter ? Verdict.STALLED : Verdict.RUNNING;
+        return observationsWithoutTurn == stalledAfterObservations
+                ? Verdict.STALLED
+                : Verdict.RUNNING;
     }
 }
--- a/src/main/java/waytrestle/net/SystemFaults.java
+++ b/src/main/java/waytrestle/net/SystemFaults.java
@@ -5,28 +5,28 @@
 import java.util.function.Consumer;
 
 /**
- * Counts the system calls that failed on one loop, by what was done about them, and reports each
- * for the log. Not thread-safe: used by the loop's thread.
+ * Counts the failed system calls of one event loop by operation and reaction, and reports each as a
+ * lineReceiver line. Not thread-safe: used on the loop's thread.
  */
 public final class SystemFaults {
     private final Map<String, Long> counts = new TreeMap<>();
-    private Consumer<String> log = line -> {};
+    private Consumer<String> lineReceiver = line -> {};
 
-    /** From now on each fault is reported by a line. */
+    /** Sets the receiver of a lineReceiver line for each later fault. */
     public void reportTo(Consumer<String> receiver) {
-        log = receiver;
+        lineReceiver = receiver;
     }
 
     /**
-     * Notes a fault.
+     * Counts and reports a fault.
      *
      * @param operation what failed, as in {@code client.read}
-     * @param reaction what is done about it, as in {@code retried}
-     * @param error null where there is none
+     * @param reaction what is done about the fault, as in {@code retried}
+     * @param error the failure, null if there was no exception
      */
     public void count(String operation, String reaction, Exception error) {
         counts.merge(operation + "." + reaction, 1L, Long::sum);
-        log.accept(
+        lineReceiver.accept(
                 "net.fault operation="
                         + operation
                         + " reaction="
@@ -36,7 +36,10 @@
                         + "\"");
     }
 
-    /** How often each happened, by {@code operation.reaction}. */
+    /**
+     * Returns the number of faults so far, by {@code operation.reaction}. The map is not a copy: it
+     * changes with each further fault.
+     */
     public Map<String, Long> counts() {
         return counts;
     }
--- a/src/main/java/waytrestle/net/TimerHeap.java
+++ b/src/main/java/waytrestle/net/TimerHeap.java
@@ -3,69 +3,79 @@
 import java.util.PriorityQueue;
 
 /**
- * Timers by due time, ties in the order of setting. A cancelled timer stays in the heap until it is
- * due or until cancelled ones are the larger half, when the heap is built anew: cancelling is cheap
- * and the size stays bounded by twice the live timers.
+ * Holds timers in the order of their due times; timers due at the same time keep the order in which
+ * they were added. Times are monotonic microseconds. Not thread-safe: used on the loop's thread.
+ *
+ * <p>A cancelled timer stays in the heap until it is due or until more than half of the timers are
+ * cancelled, which rebuilds the heap without them. So cancelling is cheap, and a large heap holds
+ * at most twice as many timers as are live.
  */
 public final class TimerHeap {
-    /** One timer; cancelling a second time, or after it ran, does nothing. */
+    /** A task with its due time. */
     public static final class Timer implements Comparable<Timer> {
-        private final long dueAt;
+        private final long dueMicros;
         private final long order;
         private final TimerHeap heap;
-        private Runnable task;
+        private Runnable task; // null once the timer was taken or cancelled
 
-        private Timer(TimerHeap heap, long dueAt, long order, Runnable task) {
+        private Timer(TimerHeap heap, long dueMicros, long order, Runnable task) {
             this.heap = heap;
-            this.dueAt = dueAt;
+            this.dueMicros = dueMicros;
             this.order = order;
             this.task = task;
         }
 
-        /** Cancels it; the task will not run. */
+        /**
+         * Cancels the timer, so that its task does not run. Does nothing if the timer was cancelled
+         * or its task taken before.
+         */
         public void cancel() {
             if (task != null) {
                 task = null;
-                heap.cancelled++;
-                heap.compact();
+                heap.cancelledCount++;
+                heap.rebuildIfMostlyCancelled();
             }
         }
 
         @Override
         public int compareTo(Timer other) {
-            int byTime = Long.compare(dueAt, other.dueAt);
+            int byTime = Long.compare(dueMicros, other.dueMicros);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private static final int SMALL = 64; // timers: below this a rebuild saves nothing
+    /** A heap of up to this many timers is not rebuilt, since that would save nothing. */
+    private static final int MAX_SIZE_WITHOUT_REBUILD = 64;
 
     private PriorityQueue<Timer> heap = new PriorityQueue<>();
-    private long orders;
-    private int cancelled;
+    private long nextOrder;
+    private int cancelledCount;
 
-    /** Adds a task that is due at a time. */
-    public Timer add(long dueAt, Runnable task) {
-        Timer timer = new Timer(this, dueAt, orders++, task);
+    /** Adds a task that is due at the given time. */
+    public Timer add(long dueMicros, Runnable task) {
+        Timer timer = new Timer(this, dueMicros, nextOrder++, task);
         heap.add(timer);
         return timer;
     }
 
-    /** Live timers. */
+    /** Returns the number of timers that are neither taken nor cancelled. */
     public int liveCount() {
-        return heap.size() - cancelled;
+        return heap.size() - cancelledCount;
     }
 
-    /** Micros until the next live timer; Long.MAX_VALUE without one. */
-    public long microsUntilNext(long now) {
-        skip();
-        return heap.isEmpty() ? Long.MAX_VALUE : Math.max(0, heap.peek().dueAt - now);
+    /**
+     * Returns the microseconds until the next live timer is due, 0 if it is due already and {@link
+     * Long#MAX_VALUE} if there is no live timer.
+     */
+    public long microsUntilNext(long nowMicros) {
+        removeCancelledHead();
+        return heap.isEmpty() ? Long.MAX_VALUE : Math.max(0, heap.peek().dueMicros - nowMicros);
     }
 
-    /** Takes the next task that is due, or null. */
-    public Runnable pollDue(long now) {
-        skip();
-        if (heap.isEmpty() || heap.peek().dueAt > now) {
+    /** Removes and returns the next task that is due; null if none is due. */
+    public Runnable pollDue(long nowMicros) {
+        removeCancelledHead();
+        if (heap.isEmpty() || heap.peek().dueMicros > nowMicros) {
             return null;
         }
         Timer timer = heap.poll();
@@ -74,15 +84,15 @@
         return task;
     }
 
-    private void skip() {
+    private void removeCancelledHead() {
         while (!heap.isEmpty() && heap.peek().task == null) {
             heap.poll();
-            cancelled--;
+            cancelledCount--;
         }
     }
 
-    private void compact() {
-        if (heap.size() > SMALL && cancelled * 2 > heap.size()) {
+    private void rebuildIfMostlyCancelled() {
+        if (heap.size() > MAX_SIZE_WITHOUT_REBUILD && cancelledCount * 2 > heap.size()) {
             PriorityQueue<Timer> live = new PriorityQueue<>();
             for (Timer timer : heap) {
                 if (timer.task != null) {
@@ -90,7 +100,7 @@
                 }
             }
             heap = live;
-            cancelled = 0;
+            cancelledCount = 0;
         }
     }
 }
