--- a/src/test/java/waytrestle/net/ConnectionTest.java
+++ b/src/test/java/waytrestle/net/ConnectionTest.java
@@ -19,21 +19,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The states of a connection, and the transitions that must not happen. */
+/** Tests the states of a connection, and that a closed connection stays closed. */
 class ConnectionTest {
-    private static final int KEEP_BYTES = 1_024;
+    private static final int MAX_UNREAD_BYTES = 1_024;
     private static final long CONNECT_MICROS = 1_000_000;
     private static final int WAIT_SECONDS = 10;
 
-    private final List<Throwable> broken = Collections.synchronizedList(new ArrayList<>());
-    private final List<String> heard = Collections.synchronizedList(new ArrayList<>());
+    private final List<Throwable> loopFailures = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> callbacks = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch connected = new CountDownLatch(1);
     private Loop loop;
     private ServerSocket server;
 
     @BeforeEach
     void start() throws Exception {
-        loop = new Loop("test", broken::add).start();
+        loop = new Loop("test", loopFailures::add).start();
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     }
 
@@ -42,34 +42,39 @@
         server.close();
         loop.stop();
         loop.join(WAIT_SECONDS * 1_000);
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), loopFailures, "exceptions thrown on the loop");
     }
 
-    private final class Recorder implements ConnectionHandler {
+    /** Records each callback as text and takes all input. */
+    private final class CallbackRecorder implements ConnectionHandler {
         @Override
         public void connected() {
-            heard.add("connected");
+            callbacks.add("connected");
             connected.countDown();
         }
 
         @Override
         public void received(ByteBuffer in) {
-            heard.add("received");
+            callbacks.add("received");
             in.position(in.limit());
         }
 
         @Override
-        public void closed(IOException why) {
-            heard.add("closed " + why);
+        public void closed(IOException failure) {
+            callbacks.add("closed " + failure);
         }
     }
 
-    private interface OnLoop {
+    /** A step of a test that runs on the loop's thread. */
+    private interface ConnectionStep {
         void run(Connection connection);
     }
 
-    /** Opens a connection, waits until it is up, runs the step on the loop and waits for it. */
-    private Connection afterConnecting(OnLoop step) throws Exception {
+    /**
+     * Returns a connection to the test's server, after it was established and the step has run on
+     * the loop.
+     */
+    private Connection connectAndRun(ConnectionStep step) throws Exception {
         Connection[] opened = new Connection[1];
         InetSocketAddress address =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
@@ -77,85 +82,100 @@
                 () ->
                         opened[0] =
                                 Connection.open(
-                                        loop, address, KEEP_BYTES, CONNECT_MICROS, new Recorder()));
-        assertTrue(connected.await(WAIT_SECONDS, TimeUnit.SECONDS));
-        onLoop(() -> step.run(opened[0]));
+                                        loop,
+                                        address,
+                                        MAX_UNREAD_BYTES,
+                                        CONNECT_MICROS,
+                                        new CallbackRecorder()));
+        assertTrue(
+                connected.await(WAIT_SECONDS, TimeUnit.SECONDS),
+                "connection not established within " + WAIT_SECONDS + " s");
+        runOnLoop(() -> step.run(opened[0]));
         return opened[0];
     }
 
-    private void onLoop(Runnable step) throws Exception {
+    /** Runs the step on the loop and waits until it has returned. */
+    private void runOnLoop(Runnable step) throws Exception {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     step.run();
                     done.countDown();
                 });
-        assertTrue(done.await(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(
+                done.await(WAIT_SECONDS, TimeUnit.SECONDS),
+                "step not run by the loop within " + WAIT_SECONDS + " s");
     }
 
     @Test
-    void aClosedConnectionHearsNothingAndSendsNothing() throws Exception {
+    void closedConnectionIgnoresAllCallsAndMakesNoCallbacks() throws Exception {
         Connection connection =
-                afterConnecting(
-                        each -> {
-                            each.close();
-                            each.send(ByteBuffer.allocate(4));
-                            each.poll();
-                            each.offerUnreadInput();
-                            each.closeWhenSent();
-                            each.close();
+                connectAndRun(
+                        established -> {
+                            established.close();
+                            established.send(ByteBuffer.allocate(4));
+                            established.poll();
+                            established.offerUnreadInput();
+                            established.closeWhenSent();
+                            established.close();
                         });
         assertFalse(connection.isOpen());
         assertEquals(0, connection.pendingBytes());
         assertEquals(0, connection.writtenBytes());
-        assertEquals(List.of("connected"), heard, "no callback after its own close");
+        assertEquals(List.of("connected"), callbacks, "callbacks after a local close");
     }
 
     @Test
-    void aConnectionThatClosesOnceSentIsClosedAtOnceWithoutOutput() throws Exception {
-        Connection connection = afterConnecting(Connection::closeWhenSent);
+    void closeWhenSentClosesAtOnceWithoutPendingOutput() throws Exception {
+        Connection connection = connectAndRun(Connection::closeWhenSent);
         assertFalse(connection.isOpen());
     }
 
     @Test
-    void aConnectionThatIsClosingDeliversItsOutputFirst() throws Exception {
+    void closeWhenSentDeliversPendingOutputBeforeClosing() throws Exception {
         int bytes = 8 << 20;
         Connection connection =
-                afterConnecting(
-                        each -> {
-                            each.send(ByteBuffer.allocate(bytes));
-                            each.closeWhenSent();
+                connectAndRun(
+                        established -> {
+                            established.send(ByteBuffer.allocate(bytes));
+                            established.closeWhenSent();
                         });
-        assertTrue(connection.isOpen(), "more than the kernel takes at once is still to go");
+        assertTrue(
+                connection.isOpen(),
+                bytes + " bytes exceed what the kernel takes at once, so output is pending");
         try (Socket peer = server.accept()) {
             assertEquals(bytes, peer.getInputStream().readNBytes(bytes + 1).length);
         }
-        onLoop(() -> assertFalse(connection.isOpen()));
+        runOnLoop(() -> assertFalse(connection.isOpen()));
     }
 
     @Test
-    void thePeersEndIsHeardOnceAndLeavesItClosed() throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
-        Connection connection = afterConnecting(each -> {});
+    void closeByThePeerClosesTheConnectionAndIsReportedOnce() throws Exception {
+        CountDownLatch neverReleased = new CountDownLatch(1);
+        Connection connection = connectAndRun(established -> {});
         server.accept().close();
         for (int i = 0; i < 100 && connection.isOpen(); i++) {
-            ended.await(20, TimeUnit.MILLISECONDS);
+            neverReleased.await(20, TimeUnit.MILLISECONDS);
         }
-        assertEquals(List.of("connected", "closed " + null), heard);
-        onLoop(connection::poll);
-        assertEquals(2, heard.size());
+        assertEquals(List.of("connected", "closed " + null), callbacks);
+        runOnLoop(connection::poll);
+        assertEquals(2, callbacks.size(), "callbacks after the connection was closed");
     }
 
     @Test
-    void aConnectionThatIsNotUpYetQueuesItsOutput() throws Exception {
+    void outputSentWhileConnectingIsQueuedAndDeliveredOnceConnected() throws Exception {
         Connection[] opened = new Connection[1];
         InetSocketAddress address =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-        onLoop(
+        runOnLoop(
                 () -> {
                     opened[0] =
                             Connection.open(
-                                    loop, address, KEEP_BYTES, CONNECT_MICROS, new Recorder());
+                                    loop,
+                                    address,
+                                    MAX_UNREAD_BYTES,
+                                    CONNECT_MICROS,
+                                    new CallbackRecorder());
                     opened[0].send(ByteBuffer.allocate(5));
                     assertEquals(0, opened[0].writtenBytes());
                     assertEquals(5, opened[0].pendingBytes());
--- a/src/test/java/waytrestle/net/ListenerTest.java
+++ b/src/test/java/waytrestle/net/ListenerTest.java
@@ -17,56 +17,60 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Accepting where no descriptor is free. */
+/** Tests how a listener behaves while the process has no free file descriptor. */
 class ListenerTest {
     @Test
-    void withNoDescriptorFreeTheConnectionWaitsAndTheLoopDoesNotSpin() throws Exception {
-        List<Throwable> broken = Collections.synchronizedList(new ArrayList<>());
-        Loop loop = new Loop("test", broken::add);
-        AtomicInteger tries = new AtomicInteger();
-        CountDownLatch some = new CountDownLatch(3);
-        CountDownLatch taken = new CountDownLatch(1);
+    void failedAcceptIsRetriedAfterAPauseUntilTheConnectionIsAccepted() throws Exception {
+        List<Throwable> loopFailures = Collections.synchronizedList(new ArrayList<>());
+        Loop loop = new Loop("test", loopFailures::add);
+        AtomicInteger failedAccepts = new AtomicInteger();
+        CountDownLatch ticks = new CountDownLatch(3);
+        CountDownLatch accepted = new CountDownLatch(1);
         Listener listener =
                 new Listener(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         16,
                         server -> {
-                            if (some.getCount() > 0) {
-                                tries.incrementAndGet();
+                            if (ticks.getCount() > 0) {
+                                failedAccepts.incrementAndGet();
                                 throw new IOException("Too many open files");
                             }
                             return server.accept();
                         },
                         channel -> {
-                            taken.countDown();
+                            accepted.countDown();
                             close(channel);
                         });
         loop.start();
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
-            loop.execute(() -> turns(loop, some));
-            assertTrue(some.await(10, TimeUnit.SECONDS));
-            assertTrue(taken.await(10, TimeUnit.SECONDS), "it is taken once one is free");
-            assertEquals(-1, s.getInputStream().read());
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
+            loop.execute(() -> countTicks(loop, ticks));
+            assertTrue(ticks.await(10, TimeUnit.SECONDS), "the loop's timers have not run");
+            assertTrue(
+                    accepted.await(10, TimeUnit.SECONDS),
+                    "connection not accepted once accepting works");
+            assertEquals(-1, client.getInputStream().read());
         }
         assertTrue(
-                tries.get() <= 10, "tried " + tries + " times while three ticks of 100 ms passed");
-        assertEquals(List.of(), broken);
+                failedAccepts.get() <= 10,
+                failedAccepts
+                        + " failed accepts, at most 10 expected, during three ticks of 100 ms");
+        assertEquals(List.of(), loopFailures, "exceptions thrown on the loop");
         loop.stop();
         loop.join(5_000);
     }
 
     /**
-     * Ticks on the loop's own clock: while a spinning loop would try thousands of times, a pausing
-     * one tries twice.
+     * Counts the latch down to 0 in ticks of 100 ms, on the loop's own timers. In each tick a
+     * spinning loop would try to accept thousands of times, one that pauses for 50 ms twice.
      */
-    private static void turns(Loop loop, CountDownLatch left) {
-        if (left.getCount() > 0) {
+    private static void countTicks(Loop loop, CountDownLatch ticksLeft) {
+        if (ticksLeft.getCount() > 0) {
             loop.after(
                     100_000,
                     () -> {
-                        left.countDown();
-                        turns(loop, left);
+                        ticksLeft.countDown();
+                        countTicks(loop, ticksLeft);
                     });
         }
     }
--- a/src/test/java/waytrestle/net/OutputQueueTest.java
+++ b/src/test/java/waytrestle/net/OutputQueueTest.java
@@ -11,7 +11,7 @@
     private final OutputQueue queue = new OutputQueue();
 
     @Test
-    void whatTheKernelTookIsCountedOnceAndTheRestIsNext() {
+    void partialWriteLeavesTheUnwrittenBytesPending() {
         queue.add(ByteBuffer.allocate(3));
         queue.add(ByteBuffer.allocate(4));
         ByteBuffer[] next = queue.nextBuffers();
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aCountThatNoWriteCanHaveIsRejected() {
+    void recordWrittenRejectsANegativeCountAndMoreThanPending() {
         queue.add(ByteBuffer.allocate(3));
         assertThrows(IllegalArgumentException.class, () -> queue.recordWritten(-3));
         assertThrows(IllegalArgumentException.class, () -> queue.recordWritten(4));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aLargeBufferIsWrittenInSlices() {
+    void bufferAboveTheSliceSizeIsQueuedInSlices() {
         queue.add(ByteBuffer.allocate(200_000));
         assertEquals(64 * 1024, queue.nextBuffers()[0].remaining());
         assertEquals(4, queue.nextBuffers().length);
--- a/src/test/java/waytrestle/net/SelectionClockTest.java
+++ b/src/test/java/waytrestle/net/SelectionClockTest.java
@@ -6,72 +6,86 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a turn of the event loop has found is as old as the time in which nobody looked. */
+/**
+ * Tests for how long the input found by a selection may have lain in the kernel unseen. All times
+ * are in microseconds.
+ */
 class SelectionClockTest {
-    private static final long MILLI = 1_000;
-    private static final long STOP = 3_600 * MILLI;
-    private static final long WAIT = 200 * MILLI;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /** When the process runs again after it was stopped at time 0. */
+    private static final long STOP_END_MICROS = 3_600 * MICROS_PER_MILLI;
+
+    private static final long MAX_WAIT_MICROS = 200 * MICROS_PER_MILLI;
 
     private final SelectionClock clock = new SelectionClock(0);
 
     @Test
-    void whatEndsAWaitHasJustCome() {
-        assertFalse(clock.begin(5 * MILLI));
-        clock.expectWait(WAIT);
-        assertFalse(clock.end(150 * MILLI));
-        assertEquals(MILLI, clock.unseenMicros(151 * MILLI));
-        assertEquals(150 * MILLI, clock.currentSelectionMicros());
+    void inputThatEndsAWaitHasJustArrived() {
+        assertFalse(clock.begin(5 * MICROS_PER_MILLI));
+        clock.expectWait(MAX_WAIT_MICROS);
+        assertFalse(clock.end(150 * MICROS_PER_MILLI));
+        assertEquals(MICROS_PER_MILLI, clock.unseenMicros(151 * MICROS_PER_MILLI));
+        assertEquals(150 * MICROS_PER_MILLI, clock.currentSelectionMicros());
         assertEquals(0, clock.previousSelectionMicros());
     }
 
     @Test
-    void whatALookFindsMayHaveComeAtAnyTimeOfTheTurnBefore() {
-        clock.begin(5 * MILLI);
-        assertFalse(clock.end(5 * MILLI));
-        assertEquals(6 * MILLI, clock.unseenMicros(6 * MILLI));
+    void inputFoundWithoutWaitingMayHaveArrivedSinceThePreviousSelection() {
+        clock.begin(5 * MICROS_PER_MILLI);
+        assertFalse(clock.end(5 * MICROS_PER_MILLI));
+        assertEquals(6 * MICROS_PER_MILLI, clock.unseenMicros(6 * MICROS_PER_MILLI));
     }
 
     @Test
-    void afterALongTurnThereIsALookBeforeTheWait() {
-        assertTrue(clock.begin(20 * MILLI));
+    void selectionAfterALongTurnMustNotWaitAtFirst() {
+        assertTrue(clock.begin(20 * MICROS_PER_MILLI));
     }
 
-    /** A ready channel ended the wait just before the stop; the others became ready during it. */
+    /**
+     * Guards against a selection that a ready channel ended just before the stop: the other
+     * channels became ready during the stop and are found only by a further selection.
+     */
     @Test
-    void aWaitInWhichTheProcessWasStoppedIsFollowedByAnotherLook() {
+    void selectionIsRepeatedIfTheProcessWasStoppedDuringTheWait() {
         clock.begin(0);
-        clock.expectWait(WAIT);
-        assertTrue(clock.end(STOP));
-        assertFalse(clock.end(STOP + MILLI));
-        assertEquals(STOP + MILLI, clock.unseenMicros(STOP + MILLI));
+        clock.expectWait(MAX_WAIT_MICROS);
+        assertTrue(clock.end(STOP_END_MICROS));
+        assertFalse(clock.end(STOP_END_MICROS + MICROS_PER_MILLI));
+        assertEquals(
+                STOP_END_MICROS + MICROS_PER_MILLI,
+                clock.unseenMicros(STOP_END_MICROS + MICROS_PER_MILLI));
     }
 
     @Test
-    void soIsALookInWhichTheProcessWasStopped() {
+    void selectionIsRepeatedIfTheProcessWasStoppedDuringASelectionWithoutWait() {
         clock.begin(0);
-        assertTrue(clock.end(STOP));
-        assertTrue(clock.end(2 * STOP), "stopped again in the further look");
-        assertFalse(clock.end(2 * STOP + MILLI));
-        assertEquals(2 * STOP + MILLI, clock.unseenMicros(2 * STOP + MILLI));
+        assertTrue(clock.end(STOP_END_MICROS));
+        assertTrue(
+                clock.end(2 * STOP_END_MICROS), "process stopped again in the repeated selection");
+        assertFalse(clock.end(2 * STOP_END_MICROS + MICROS_PER_MILLI));
+        assertEquals(
+                2 * STOP_END_MICROS + MICROS_PER_MILLI,
+                clock.unseenMicros(2 * STOP_END_MICROS + MICROS_PER_MILLI));
     }
 
     @Test
-    void theTurnAfterAStopIsAnOrdinaryOne() {
+    void inputThatEndsAWaitInTheTurnAfterAStopHasJustArrived() {
         clock.begin(0);
-        clock.expectWait(WAIT);
-        clock.end(STOP);
-        clock.end(STOP);
-        assertFalse(clock.begin(STOP + MILLI));
-        clock.expectWait(WAIT);
-        assertFalse(clock.end(STOP + 2 * MILLI));
-        assertEquals(0, clock.unseenMicros(STOP + 2 * MILLI));
+        clock.expectWait(MAX_WAIT_MICROS);
+        clock.end(STOP_END_MICROS);
+        clock.end(STOP_END_MICROS);
+        assertFalse(clock.begin(STOP_END_MICROS + MICROS_PER_MILLI));
+        clock.expectWait(MAX_WAIT_MICROS);
+        assertFalse(clock.end(STOP_END_MICROS + 2 * MICROS_PER_MILLI));
+        assertEquals(0, clock.unseenMicros(STOP_END_MICROS + 2 * MICROS_PER_MILLI));
     }
 
     @Test
-    void afterAFailureAllSinceTheSelectionBeforeMayBeUnseen() {
+    void inputMayBeUnseenSinceThePreviousSelectionAfterAFailedSelection() {
         clock.begin(0);
-        clock.expectWait(WAIT);
-        clock.selectionFailed(30 * MILLI);
-        assertEquals(31 * MILLI, clock.unseenMicros(31 * MILLI));
+        clock.expectWait(MAX_WAIT_MICROS);
+        clock.selectionFailed(30 * MICROS_PER_MILLI);
+        assertEquals(31 * MICROS_PER_MILLI, clock.unseenMicros(31 * MICROS_PER_MILLI));
     }
 }
--- a/src/test/java/waytrestle/net/SocketAddressesTest.java
+++ b/src/test/java/waytrestle/net/SocketAddressesTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Socket addresses as text. */
+/** Tests the text form of socket addresses. */
 class SocketAddressesTest {
     @Test
-    void anAddressIsWrittenSoThatItReadsBack() {
+    void formatReturnsTheTextThatWasParsed() {
         for (String text : List.of("127.0.0.1:80", "[0:0:0:0:0:0:0:1]:443")) {
             assertEquals(
                     text, SocketAddresses.format(SocketAddresses.parse(text).orElseThrow()), text);
@@ -17,14 +17,14 @@
     }
 
     @Test
-    void namesAndIncompleteAddressesAreRejected() {
+    void parseRejectsHostNamesIncompleteAddressesAndPortsAboveTheMaximum() {
         for (String text : List.of("", "80", ":80", "host:80", "127.0.0.1:", "127.0.0.1:99999")) {
             assertTrue(SocketAddresses.parse(text).isEmpty(), text);
         }
     }
 
     @Test
-    void anIpv6AddressNeedsBrackets() {
+    void parseRejectsAnIpv6AddressWithoutBracketsAndFormatAddsThem() {
         for (String text : List.of("::1:80", "[::1:80", "::1]:80")) {
             assertTrue(SocketAddresses.parse(text).isEmpty(), text);
         }
--- a/src/test/java/waytrestle/net/TransferRetryTest.java
+++ b/src/test/java/waytrestle/net/TransferRetryTest.java
@@ -7,29 +7,29 @@
 import org.junit.jupiter.api.Test;
 
 class TransferRetryTest {
-    private static final long PATIENCE_MICROS = 2_000_000;
+    private static final long RETRY_TIMEOUT_MICROS = 2_000_000;
 
-    private final TransferRetry retry = new TransferRetry(PATIENCE_MICROS);
+    private final TransferRetry retry = new TransferRetry(RETRY_TIMEOUT_MICROS);
 
     @Test
-    void theWaitDoublesUpToABound() {
+    void backoffDoublesUpToItsMaximum() {
         assertEquals(1_000, retry.recordFailure(0));
         assertEquals(2_000, retry.recordFailure(1_000));
         assertEquals(4_000, retry.recordFailure(3_000));
-        long wait = 0;
+        long backoffMicros = 0;
         for (int i = 0; i < 10; i++) {
-            wait = retry.recordFailure(10_000 + i);
+            backoffMicros = retry.recordFailure(10_000 + i);
         }
-        assertEquals(50_000, wait);
+        assertEquals(50_000, backoffMicros);
     }
 
     @Test
-    void aFailureThatLastsIsGivenUpAndOneThatPassedStartsAnew() {
+    void failingTransferIsGivenUpAfterTheRetryTimeoutAndStartsAnewAfterASuccess() {
         retry.recordFailure(0);
-        assertTrue(retry.recordFailure(PATIENCE_MICROS) > 0);
-        assertEquals(TransferRetry.GIVE_UP, retry.recordFailure(PATIENCE_MICROS + 1));
+        assertTrue(retry.recordFailure(RETRY_TIMEOUT_MICROS) > 0);
+        assertEquals(TransferRetry.GIVE_UP, retry.recordFailure(RETRY_TIMEOUT_MICROS + 1));
         retry.recordSuccess();
         assertFalse(retry.isFailing());
-        assertEquals(1_000, retry.recordFailure(PATIENCE_MICROS + 2));
+        assertEquals(1_000, retry.recordFailure(RETRY_TIMEOUT_MICROS + 2));
     }
 }
