--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -11,9 +11,9 @@
 import waytrestle.discovery.watch.WatchState;
 import waytrestle.front.platform.PlatformFrontEnd;
 import waytrestle.gateway.GossipSocket;
-import waytrestle.http.Doorkeeper;
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpServer;
+import waytrestle.http.ServerAdmission;
 import waytrestle.invoker.platform.PlatformResponseClassifier;
 import waytrestle.net.Loop;
 import waytrestle.requests.AdmissionControl;
@@ -101,7 +101,7 @@
         this.log = log;
         this.startRetry = new StartRetry(log);
         this.loop = startRetry.open("loop", this::createLoop);
-        loop.faults().reportTo(log::message);
+        loop.faults().reportTo(log::logMessage);
         int connections = Math.max(MIN_CONNECTIONS, config.sockets() - RESERVED_DESCRIPTORS);
         this.maxClientConnections = (int) Math.max(1, CLIENT_CONNECTION_SHARE * connections);
         this.maxInvokerConnections = connections - maxClientConnections;
@@ -195,7 +195,7 @@
                 endpoints::apply,
                 startup::open,
                 freshness -> discovery.freshnessChanged(freshness, state.lastRevision()),
-                log::message);
+                log::logMessage);
     }
 
     private GossipSocket openGossip(Controller controller) throws IOException {
@@ -212,12 +212,12 @@
     }
 
     private HttpServer openServer(PlatformFrontEnd frontEnd) throws IOException {
-        Doorkeeper connectionLimit = Doorkeeper.upTo(maxClientConnections);
+        ServerAdmission connectionLimit = ServerAdmission.withConnectionLimit(maxClientConnections);
         return new HttpServer(loop, config.listen(), HTTP_LIMITS, connectionLimit, frontEnd)
-                .freshWithin(FIRST_REQUEST_MICROS)
-                .delayingBrokenCloses(CROSSING_CLOSE_MICROS)
-                .yielding()
-                .oneAtATime();
+                .withFirstRequestMicros(FIRST_REQUEST_MICROS)
+                .withBrokenCloseDelayMicros(CROSSING_CLOSE_MICROS)
+                .withIdleEviction()
+                .withResetOnFullInput();
     }
 
     private void startWatching(WatchClient watchClient, StartupGate startup) {
--- a/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
+++ b/src/test/java/waytrestle/scheduler/EndpointTrackerTest.java
@@ -15,7 +15,7 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Changes of the endpoint list. */
+/** How the scheduler applies snapshots and changes of the endpoint list. */
 class EndpointTrackerTest {
     @Test
     void drainingInvokersAndInvokersMissingInASnapshotReceiveNoAttempts() {
@@ -39,24 +39,32 @@
     void restartedInvokerIsTreatedAsHoldingNoInstances() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
-        long upSince = scheduler.now - 11_000_000;
+        String warmInvoker = scheduler.serveWarm(1, "f");
+        long restartedAt = scheduler.now - 11_000_000;
         scheduler.feed(
                 new EndpointsUpdated(
                         false,
                         false,
                         List.of(
                                 new InvokerEndpoint(
-                                        known, 0, 0, 0, EndpointState.READY, 1, upSince))));
-        String to =
+                                        warmInvoker,
+                                        0,
+                                        0,
+                                        0,
+                                        EndpointState.READY,
+                                        1,
+                                        restartedAt))));
+        String target =
                 onlyCommand(scheduler.request(2, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker();
         List<SchedulerCommand> commands =
-                scheduler.completeAttempt(2, 0, to, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                scheduler.completeAttempt(
+                        2, 0, target, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         assertEquals(
                 1,
                 commandsOfType(commands, ForwardAttempt.class).size(),
-                "full for a load moves on, full for a warm instance waits");
+                "a full response to a cold attempt is retried elsewhere at once; to a warm one it"
+                        + " waits");
     }
 
     @Test
@@ -85,7 +93,7 @@
         scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
         assertTrue(
                 scheduler.completePreload("a", "f", 1).isEmpty(),
-                "a late preload response must not bring it back");
+                "a preload response after GONE must have no effect");
         assertTrue(commandsOfType(scheduler.request(2, "f"), ForwardAttempt.class).isEmpty());
         scheduler.feed(new EndpointsUpdated(false, false, List.of(readyInvoker("a"))));
         assertEquals("a", onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker());
--- a/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerBackoffTest.java
@@ -17,76 +17,87 @@
 import waytrestle.scheduler.SchedulerEvent.RequestReceived;
 import waytrestle.scheduler.SchedulerEvent.TimerExpired;
 
-/** Invokers that cannot be reached, reset, are at capacity or fall silent. */
+/** Backoff from invokers that cannot be reached, reset, are at capacity or no longer respond. */
 class InvokerBackoffTest {
     @Test
     void invokerThatFailsFastReceivesFewRequests() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
-        scheduler.completeAttempt(1, 0, bad, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
-        String good = bad.equals("a") ? "b" : "a";
+        String failingInvoker =
+                onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        scheduler.completeAttempt(1, 0, failingInvoker, ResponseCode.ERROR, StartKind.UNKNOWN, 500);
+        String healthyInvoker = failingInvoker.equals("a") ? "b" : "a";
         scheduler.now += 100_000;
-        scheduler.completeAttempt(1, 1, good, ResponseCode.OK, StartKind.WARM, 100_000);
-        int toBad = 0;
+        scheduler.completeAttempt(1, 1, healthyInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
+        int attemptsToFailing = 0;
         for (int i = 2; i < 40; i++) {
-            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
-            toBad += to.equals(bad) ? 1 : 0;
+            String target = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            attemptsToFailing += target.equals(failingInvoker) ? 1 : 0;
             scheduler.now += 100_000;
-            List<SchedulerCommand> next =
+            List<SchedulerCommand> retries =
                     scheduler.completeAttempt(
                             i,
                             0,
-                            to,
-                            to.equals(bad) ? ResponseCode.ERROR : ResponseCode.OK,
+                            target,
+                            target.equals(failingInvoker) ? ResponseCode.ERROR : ResponseCode.OK,
                             StartKind.WARM,
                             100_000);
-            commandsOfType(next, ForwardAttempt.class)
+            commandsOfType(retries, ForwardAttempt.class)
                     .forEach(
-                            s ->
+                            retry ->
                                     scheduler.completeAttempt(
-                                            s.id(),
+                                            retry.id(),
                                             1,
-                                            s.invoker(),
+                                            retry.invoker(),
                                             ResponseCode.OK,
                                             StartKind.WARM,
                                             100_000));
         }
-        assertTrue(toBad < 4, "went to the failing invoker " + toBad + " times");
+        assertTrue(
+                attemptsToFailing < 4,
+                "attempts sent to the failing invoker (limit 3): " + attemptsToFailing);
     }
 
     @Test
     void invokerReceivesAtMostOneAttemptAtATimeAfterAFailedConnection() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String bad = onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
+        String failingInvoker =
+                onlyCommand(scheduler.request(1, "f"), ForwardAttempt.class).invoker();
         scheduler.completeAttempt(
-                1, 0, bad, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
+                1, 0, failingInvoker, ResponseCode.CONNECT_FAILED, StartKind.UNKNOWN, 250_000);
         scheduler.now += 300_000;
-        int trials = 0;
+        int attemptsToPaused = 0;
         for (int i = 2; i < 12; i++) {
-            trials +=
+            attemptsToPaused +=
                     onlyCommand(scheduler.request(i, "x" + i), ForwardAttempt.class)
                                     .invoker()
-                                    .equals(bad)
+                                    .equals(failingInvoker)
                             ? 1
                             : 0;
         }
-        assertTrue(trials <= 1);
+        assertTrue(
+                attemptsToPaused <= 1,
+                "attempts sent to the paused invoker (limit 1): " + attemptsToPaused);
     }
 
     @Test
     void invokerKeepsItsInstancesAfterASingleReset() {
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         scheduler.request(2, "f", 5_000_000, 2_000_000);
-        scheduler.completeAttempt(2, 0, known, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
+        scheduler.completeAttempt(2, 0, warmInvoker, ResponseCode.RESET, StartKind.UNKNOWN, 50_000);
         scheduler.completeAttempt(
-                2, 1, known.equals("a") ? "b" : "a", ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
+                2,
+                1,
+                warmInvoker.equals("a") ? "b" : "a",
+                ResponseCode.FULL,
+                StartKind.UNKNOWN,
+                1_000);
         scheduler.now += 5_000_000;
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(3, "f", 5_000_000, 2_000_000), ForwardAttempt.class)
                         .invoker());
     }
@@ -110,10 +121,12 @@
                         .invoker();
         scheduler.completeAttempt(1, 0, first, ResponseCode.FULL, StartKind.UNKNOWN, 1_000);
         scheduler.now += 4_000_000;
-        String again =
+        String secondTarget =
                 onlyCommand(scheduler.request(2, "f", 1_100_000, 900_000), ForwardAttempt.class)
                         .invoker();
-        assertFalse(again.isEmpty(), "a rejected load must not go on counting as one under way");
+        assertFalse(
+                secondTarget.isEmpty(),
+                "the load answered with full must not count as one under way");
     }
 
     @Test
@@ -121,12 +134,12 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.classCount = 2;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 6; i++) {
             scheduler.feed(
                     new RequestReceived(
                             i, 1, -1, "g" + i, 5_000_000, 0, 300, 2, 300_000, false, false));
-            scheduler.completeAttempt(i, 0, known, ResponseCode.OK, StartKind.WARM, 100_000);
+            scheduler.completeAttempt(i, 0, warmInvoker, ResponseCode.OK, StartKind.WARM, 100_000);
             scheduler.serveWarm(20 + i, "f");
         }
         for (int i = 30; i < 36; i++) {
@@ -141,15 +154,20 @@
                     i,
                     0,
                     attempt.invoker(),
-                    attempt.invoker().equals(known) ? ResponseCode.FULL : ResponseCode.OK,
+                    attempt.invoker().equals(warmInvoker) ? ResponseCode.FULL : ResponseCode.OK,
                     StartKind.WARM,
                     50_000);
             scheduler.completeAttempt(
-                    i, 1, known.equals("a") ? "b" : "a", ResponseCode.OK, StartKind.WARM, 100_000);
+                    i,
+                    1,
+                    warmInvoker.equals("a") ? "b" : "a",
+                    ResponseCode.OK,
+                    StartKind.WARM,
+                    100_000);
             scheduler.now += 300_000;
         }
         assertNotEquals(
-                known,
+                warmInvoker,
                 onlyCommand(
                                 scheduler.feed(
                                         new RequestReceived(
@@ -157,23 +175,26 @@
                                                 false, false)),
                                 ForwardAttempt.class)
                         .invoker(),
-                "rejected there");
+                "full responses there to the second class only");
         assertEquals(
-                known,
+                warmInvoker,
                 onlyCommand(scheduler.request(51, "f", 5_000_000, 300_000), ForwardAttempt.class)
                         .invoker());
     }
 
-    /** Requests of one function at one invoker, of which the test resets some. */
+    /**
+     * Sends requests for one function, with ids counted up from the given one, one after the other.
+     * The attempts of the requests chosen by the predicate are reset, the others served.
+     */
     private static void resetSome(
-            SchedulerFixture scheduler, int from, int requests, IntPredicate resets) {
-        for (int i = from; i < from + requests; i++) {
-            String to = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
+            SchedulerFixture scheduler, int firstId, int requests, IntPredicate resets) {
+        for (int i = firstId; i < firstId + requests; i++) {
+            String target = onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker();
             scheduler.now += 60_000;
             scheduler.completeAttempt(
                     i,
                     0,
-                    to,
+                    target,
                     resets.test(i) ? ResponseCode.RESET : ResponseCode.OK,
                     StartKind.WARM,
                     60_000);
@@ -188,15 +209,15 @@
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.idempotency = Idempotency.NON_IDEMPOTENT;
         scheduler.start(readyInvoker("a"));
-        resetSome(scheduler, 1, 60, i -> i % 4 == 0 || i % 4 == 1); // two in a row, again and again
-        scheduler.now += 2_000_000; // a pause, if there was one, is over
+        resetSome(scheduler, 1, 60, i -> i % 4 == 0 || i % 4 == 1); // two in a row of every four
+        scheduler.now += 2_000_000; // longer than any pause after these resets
         int sent = 0;
         for (int i = 100; i < 140; i++) {
             sent += commandsOfType(scheduler.request(i, "f"), ForwardAttempt.class).size();
             scheduler.now += 10_000;
             scheduler.completeAttempt(i, 0, "a", ResponseCode.OK, StartKind.WARM, 10_000);
         }
-        assertEquals(40, sent, "a restarted one would get only some of these");
+        assertEquals(40, sent, "attempts to an invoker that is not in its slow start");
     }
 
     @Test
@@ -220,22 +241,27 @@
                 scheduler.completeAttempt(100, 0, "a", ResponseCode.OK, StartKind.COLD, 60_000);
             }
         }
-        assertTrue(sent >= 1 && sent < 12, "within the slow-start budget: " + sent);
+        assertTrue(
+                sent >= 1 && sent < 12, "attempts within the slow-start budget (1 to 11): " + sent);
     }
 
-    /** Attempts at a warm invoker that then falls silent, and what maintenance cancels. */
+    /**
+     * Sends requests to a warm invoker that then does not respond, and runs the maintenance.
+     * Returns the cancelled attempts, after checking that each is retried at another invoker.
+     */
     private static List<CancelAttempt> cancelledAfterSilence(
-            boolean reportsNotLoaded, Idempotency idempotency, int requests, long silence) {
+            boolean reportsNotLoaded, Idempotency idempotency, int requests, long silenceMicros) {
         SchedulerFixture scheduler = new SchedulerFixture();
         scheduler.reportsNotLoaded = reportsNotLoaded;
         scheduler.idempotency = idempotency;
         scheduler.start(readyInvoker("a"), readyInvoker("b"));
-        String known = scheduler.serveWarm(1, "f");
+        String warmInvoker = scheduler.serveWarm(1, "f");
         for (int i = 2; i < 2 + requests; i++) {
             assertEquals(
-                    known, onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
+                    warmInvoker,
+                    onlyCommand(scheduler.request(i, "f"), ForwardAttempt.class).invoker());
         }
-        scheduler.now += silence;
+        scheduler.now += silenceMicros;
         List<SchedulerCommand> commands =
                 scheduler.feed(new TimerExpired(new SchedulerTimer.Maintenance()));
         for (CancelAttempt cancel : commandsOfType(commands, CancelAttempt.class)) {
@@ -244,12 +270,14 @@
                             scheduler.completeAttempt(
                                     cancel.id(),
                                     cancel.attempt(),
-                                    known,
+                                    warmInvoker,
                                     ResponseCode.CANCELLED,
                                     StartKind.UNKNOWN,
-                                    silence),
+                                    silenceMicros),
                             ForwardAttempt.class);
-            assertTrue(!retry.invoker().equals(known), "not sent there again");
+            assertTrue(
+                    !retry.invoker().equals(warmInvoker),
+                    "retried at the silent invoker " + warmInvoker);
         }
         return commandsOfType(commands, CancelAttempt.class);
     }
@@ -260,18 +288,18 @@
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.NON_IDEMPOTENT, 2, 1_500_000).size(),
-                "they may have run");
+                "non-idempotent attempts may have run");
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.IDEMPOTENT, 1, 1_500_000).size(),
-                "one may just be long");
+                "a single attempt may just take long");
         assertEquals(
                 0,
                 cancelledAfterSilence(true, Idempotency.IDEMPOTENT, 2, 300_000).size(),
-                "too soon to tell");
+                "300 ms are too short for silence");
         assertEquals(
                 0,
                 cancelledAfterSilence(false, Idempotency.IDEMPOTENT, 2, 1_500_000).size(),
-                "they may wait for a load there");
+                "without not-loaded responses the attempts may wait for a load");
     }
 }
--- a/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
+++ b/src/test/java/waytrestle/scheduler/InvokerSelectorTest.java
@@ -13,7 +13,7 @@
 import waytrestle.scheduler.SchedulerCommand.ForwardAttempt;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-/** Which invoker a request goes to. */
+/** Which invoker a request is sent to. */
 class InvokerSelectorTest {
     @Test
     void warmInvokerIsPreferredToAHigherRankedColdOneUntilItsInstanceExpires() {
@@ -39,7 +39,7 @@
         assertEquals(
                 first,
                 onlyCommand(scheduler.request(3, "f"), ForwardAttempt.class).invoker(),
-                "an unused instance expires");
+                "the instance expires 10 s after its last use");
     }
 
     @Test
@@ -47,38 +47,38 @@
         SchedulerFixture scheduler =
                 new SchedulerFixture().start(readyInvoker("a"), readyInvoker("b"));
         String first = null;
-        boolean spread = false;
+        boolean usesSecondInvoker = false;
         for (long id = 1; id <= 14; id++) {
-            String to =
+            String target =
                     onlyCommand(
                                     scheduler.request(id, "f", 5_000_000, 300_000),
                                     ForwardAttempt.class)
                             .invoker();
-            first = first == null ? to : first;
-            spread |= !to.equals(first);
+            first = first == null ? target : first;
+            usesSecondInvoker |= !target.equals(first);
         }
-        assertTrue(spread, "a long queue costs more than a load elsewhere");
+        assertTrue(usesSecondInvoker, "a long queue costs more than a load at another invoker");
     }
 
     @Test
     void controllersWithDifferentListOrdersChooseTheSameColdInvoker() {
         for (int f = 0; f < 20; f++) {
-            SchedulerFixture one =
+            SchedulerFixture first =
                     new SchedulerFixture()
                             .start(readyInvoker("a"), readyInvoker("b"), readyInvoker("c"));
-            SchedulerFixture two =
+            SchedulerFixture second =
                     new SchedulerFixture()
                             .start(readyInvoker("c"), readyInvoker("a"), readyInvoker("b"));
             assertEquals(
-                    onlyCommand(one.request(1, "f" + f), ForwardAttempt.class).invoker(),
-                    onlyCommand(two.request(9, "f" + f), ForwardAttempt.class).invoker());
+                    onlyCommand(first.request(1, "f" + f), ForwardAttempt.class).invoker(),
+                    onlyCommand(second.request(9, "f" + f), ForwardAttempt.class).invoker());
         }
     }
 
     @Test
     void controllersSpreadABusyFunctionButNotARareOne() {
-        Set<String> hot = new TreeSet<>();
-        Set<String> rare = new TreeSet<>();
+        Set<String> busyInvokers = new TreeSet<>();
+        Set<String> rareInvokers = new TreeSet<>();
         InvokerEndpoint[] fleet = new InvokerEndpoint[20];
         for (int i = 0; i < fleet.length; i++) {
             fleet[i] = readyInvoker("w" + i);
@@ -100,13 +100,18 @@
                             StartKind.LOAD_FAILED,
                             1_000);
                     if (i > 20) {
-                        (i % 2 == 0 ? hot : rare)
+                        (i % 2 == 0 ? busyInvokers : rareInvokers)
                                 .add((i % 2 == 0 ? "" : function + " ") + attempt.invoker());
                     }
                 }
             }
         }
-        assertTrue(hot.size() >= 5, "half of all requests need several invokers: " + hot);
-        assertEquals(10, rare.size(), "a rare function has one invoker: " + rare);
+        assertTrue(
+                busyInvokers.size() >= 5,
+                "a function with half of all requests uses at least 5 invokers: " + busyInvokers);
+        assertEquals(
+                10,
+                rareInvokers.size(),
+                "each of the 10 rare functions uses one invoker: " + rareInvokers);
     }
 }
