--- a/src/main/java/waytrestle/front/kserve/KserveFront.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFront.java
@@ -251,7 +251,7 @@
             byte[] hash =
                     MessageDigest.getInstance("SHA-256")
                             .digest(given.substring(7).trim().getBytes(StandardCharsets.UTF_8));
-            return config.tenantByKey().get(HexFormat.of().formatHex(hash));
+            return config.tenantByKeyHash().get(HexFormat.of().formatHex(hash));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("this Java lacks SHA-256", e);
         }
@@ -268,13 +268,13 @@
             fault(e, 400, "tensor", "Inference-Header-Content-Length: must be from 0 to " + size);
             return;
         }
-        if (jsonBytes > config.jsonBytes()) {
+        if (jsonBytes > config.maxJsonBytes()) {
             fault(
                     e,
                     413,
                     "json",
                     "the JSON part is over "
-                            + config.jsonBytes()
+                            + config.maxJsonBytes()
                             + " bytes; send tensors as binary");
             return;
         }
--- a/src/main/java/waytrestle/front/webhook/WebhookFront.java
+++ b/src/main/java/waytrestle/front/webhook/WebhookFront.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import waytrestle.config.GatewayConfig.Endpoint;
+import waytrestle.config.GatewayConfig.WebhookEndpoint;
 import waytrestle.front.Front;
 import waytrestle.front.Fronts;
 import waytrestle.http.HttpMessage;
@@ -25,7 +25,7 @@
     private static final Pattern ID = Pattern.compile("[!-~]{1,256}");
     private static final Pattern SECONDS = Pattern.compile("\\d{1,12}");
 
-    private record Door(Endpoint endpoint, Signatures signatures, RequestClass kind) {}
+    private record Door(WebhookEndpoint endpoint, Signatures signatures, RequestClass kind) {}
 
     private final Map<String, Door> doors = new HashMap<>();
     private final long toleranceSeconds, transit;
@@ -34,13 +34,13 @@
     private final Map<String, Long> turnedAway = new HashMap<>();
 
     public WebhookFront(
-            List<Endpoint> endpoints,
+            List<WebhookEndpoint> endpoints,
             List<RequestClass> classes,
             long toleranceSeconds,
             long transitMicros,
             Predicate<String> known,
             RequestHandler intake) {
-        for (Endpoint e : endpoints) {
+        for (WebhookEndpoint e : endpoints) {
             doors.put(
                     e.path(),
                     new Door(e, new Signatures(e.secrets()), classes.get(e.requestClass())));
@@ -125,7 +125,7 @@
         }
         String function = door.endpoint().fixedFunction();
         if (function.isEmpty()) {
-            function = FunctionPointer.at(door.endpoint().pointer(), m.body());
+            function = FunctionPointer.at(door.endpoint().functionPointer(), m.body());
         }
         if (!Fronts.isFunction(function)) {
             turnAway(
@@ -133,7 +133,7 @@
                     400,
                     "function",
                     "the payload names no function at "
-                            + door.endpoint().pointer()
+                            + door.endpoint().functionPointer()
                             + ": 1 to 128 letters, figures, dots, dashes or underscores");
             return;
         }
--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -202,7 +202,7 @@
         if (!settings.limits().mayGossip() || config.peerListen() == null) {
             return null;
         }
-        return GossipSocket.plain(
+        return GossipSocket.openUnframed(
                 loop,
                 settings.controllerIndex(),
                 config.peerListen(),
--- a/src/main/java/waytrestle/platform/PlatformInvokerClient.java
+++ b/src/main/java/waytrestle/platform/PlatformInvokerClient.java
@@ -45,7 +45,7 @@
                         timeoutMicros,
                         request.payload());
         HttpClient.Call exchange =
-                exchange(
+                startExchange(
                         timeoutMicros,
                         listener,
                         response -> listener.completed(attemptResult(response)),
@@ -80,7 +80,7 @@
     }
 
     private void sendOperation(long timeoutMicros, ByteBuffer request, OperationListener listener) {
-        exchange(
+        startExchange(
                 timeoutMicros,
                 listener,
                 response ->
