--- a/src/main/java/waytrestle/config/ConfigException.java
+++ b/src/main/java/waytrestle/config/ConfigException.java
@@ -2,17 +2,23 @@
 
 import java.util.List;
 
-/** A file that cannot be used, with every fault found in it. */
+/** Thrown when a configuration file cannot be used; holds every error found in the file. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
-    private final transient List<String> faults;
+    private final transient List<String> errors;
 
-    public ConfigException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.faults = faults;
+    /**
+     * Creates an exception whose message has one line per error.
+     *
+     * @param errors messages that name the file and, where it is known, the line and the key
+     */
+    public ConfigException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = errors;
     }
 
+    /** Returns the error messages; null after deserialization. */
     public List<String> errors() {
-        return faults;
+        return errors;
     }
 }
--- a/src/main/java/waytrestle/config/GatewayConfig.java
+++ b/src/main/java/waytrestle/config/GatewayConfig.java
@@ -32,8 +32,26 @@
 import waytrestle.scheduler.SchedulerSettings.Tenant;
 
 /**
- * The whole configuration of a gateway process, checked. Names and units are those of the annotated
- * example.
+ * The checked configuration of a gateway process. Times are in microseconds, while the file gives
+ * them in milliseconds or seconds; {@code deploy/gateway.example.toml} explains each setting.
+ * Immutable.
+ *
+ * @param schedulerSettings settings of the controller and its scheduler
+ * @param seed seed of all random choices of the controller
+ * @param zones names of the zones, by index
+ * @param invokerKinds names of the kinds of invoker, by index
+ * @param listenAddress where clients connect
+ * @param adminAddress where the metrics and health pages are served
+ * @param httpLimits limits of each client connection
+ * @param maxConnections limit of all client connections
+ * @param transitMicros time subtracted from each client's time limit for the way of the request to
+ *     the gateway
+ * @param functions functions that the file declares, by name
+ * @param unknownFunction what applies to functions that the file does not declare; null if their
+ *     requests are rejected
+ * @param shutdownGraceMicros time that requests in flight have to end in a shutdown
+ * @param tenantLimits limits of the tenants, in the order of the tenants in {@code
+ *     schedulerSettings}
  */
 public record GatewayConfig(
         SchedulerSettings schedulerSettings,
@@ -62,8 +80,17 @@
         FileAccessLog.Settings accessLog) {
 
     /**
-     * Where signed calls come in; secrets are as given, with their prefix. The file is "" where
-     * they stand here.
+     * A path that takes signed webhook requests.
+     *
+     * @param tenant index of the tenant; -1 if the file defines no tenants
+     * @param requestClass index of the request class
+     * @param functionPointer JSON pointer (RFC 6901) to the function's name in the request body;
+     *     empty if {@code fixedFunction} is given
+     * @param fixedFunction name of the function of all requests; empty if {@code functionPointer}
+     *     is given
+     * @param secrets accepted secrets, with their prefixes
+     * @param secretsFile file that the secrets are read from; empty if the configuration file
+     *     contains them
      */
     public record WebhookEndpoint(
             String path,
@@ -74,11 +101,25 @@
             List<String> secrets,
             String secretsFile) {}
 
-    /** What a call tells the module of its function; 0 leaves it untold. */
+    /**
+     * What the gateway declares of a function to the scheduler; 0 for a value that is not declared.
+     *
+     * @param memoryMb memory of one function instance, in megabytes
+     * @param concurrencyPerInstance requests that one function instance runs at a time
+     * @param loadMicros usual time to load a function instance
+     * @param workMicros usual time that the function takes to serve a request
+     */
     public record DeclaredFunction(
             double memoryMb, int concurrencyPerInstance, long loadMicros, long workMicros) {}
 
-    /** The connections to each invoker. */
+    /**
+     * Limits of the connections to invokers.
+     *
+     * @param maxConnections limit of the connections to one invoker
+     * @param idleCloseMicros time after which an idle connection is closed
+     * @param maxResponseBytes largest response; a larger one counts as malformed
+     * @param maxTotalResponseBytes limit of all responses that are being received from any invoker
+     */
     public record InvokerConnections(
             int maxConnections,
             long idleCloseMicros,
@@ -86,10 +127,17 @@
             long maxTotalResponseBytes) {}
 
     /**
-     * Where the list of invokers comes from: fixed entries, or a health API at an address.
+     * Where the endpoint list comes from: either fixed entries or a health API.
      *
-     * @param validAfterFailureMicros how long the list may be acted on by itself after a query that
-     *     failed; {@link PollFreshness#UNLIMITED} for ever
+     * @param fixedEndpoints the fixed entries; empty with a health API
+     * @param healthApiAddress address of a Consul-compatible health API; null with fixed entries
+     * @param service name of the service under which invokers are registered with the health API
+     * @param queryWaitMicros how long the health API may hold back the response to a blocking query
+     * @param minRetryPauseMicros pause after a first failed query; doubles with each further
+     *     failure
+     * @param maxRetryPauseMicros longest pause after a failed query
+     * @param validAfterFailureMicros how long the list may be acted on without health checks after
+     *     a query that failed; {@link PollFreshness#UNLIMITED} for ever
      */
     public record Discovery(
             List<InvokerEndpoint> fixedEndpoints,
@@ -100,13 +148,24 @@
             long maxRetryPauseMicros,
             long validAfterFailureMicros) {}
 
-    /** Other controllers, by number; an empty list when there is no talk. */
+    /**
+     * Addresses for the gossip between controllers.
+     *
+     * @param listenAddress where this controller receives gossip; null if it takes no part
+     * @param peerAddresses addresses of the other controllers, by controller index
+     */
     public record Gossip(
             InetSocketAddress listenAddress, Map<Integer, InetSocketAddress> peerAddresses) {}
 
     /**
-     * What connections may hold: bytes of all bodies, connections of one network, address sets in
-     * CIDR form.
+     * Limits of what client connections may occupy together.
+     *
+     * @param maxTotalBodyBytes limit of the bytes of all request and response bodies
+     * @param maxPerNetwork limit of the connections from one source network
+     * @param ipv4PrefixBits prefix length of the networks by which IPv4 sources are counted
+     * @param ipv6PrefixBits prefix length of the networks by which IPv6 sources are counted
+     * @param trustedNetworks networks exempt from {@code maxPerNetwork}, in CIDR notation
+     * @param barredNetworks networks whose connections are never admitted, in CIDR notation
      */
     public record ConnectionLimits(
             long maxTotalBodyBytes,
@@ -116,63 +175,89 @@
             List<String> trustedNetworks,
             List<String> barredNetworks) {}
 
-    /** The KServe front; keys by the SHA-256 of their text in hex. Without keys it is closed. */
+    /**
+     * Settings of the KServe front end.
+     *
+     * @param requestClass index of the request class of models that {@code classByModel} lacks
+     * @param tenantByKeyHash index of the tenant, -1 if the file defines no tenants, by the SHA-256
+     *     of the bearer key in lower-case hex; the front end is not started if it is empty
+     * @param classByModel index of the request class, by name of the model
+     * @param maxJsonBytes limit of the JSON part of a request
+     */
     public record Kserve(
             int requestClass,
             Map<String, Integer> tenantByKeyHash,
             Map<String, Integer> classByModel,
             int maxJsonBytes) {}
 
-    /** When failed decisions end the process: more than so many within a span. */
+    /**
+     * When failed decisions of the scheduler end the process.
+     *
+     * @param maxFailures failed decisions that are tolerated within the window
+     * @param windowMicros length of the window
+     */
     public record FailureLimit(int maxFailures, long windowMicros) {}
 
-    /** A leader election of the health API's servers takes less, and a drain is rarely shorter. */
+    /**
+     * How long an endpoint list is acted on after a failed query. A leader election among the
+     * servers of the health API takes less, and invokers rarely drain for a shorter time.
+     */
     private static final double DEFAULT_LIST_VALID_MILLIS = 2_000;
 
-    private static final double DAY = 86_400_000; // ms: no time in a configuration is longer
+    /** Largest time that a configuration may give, in milliseconds. */
+    private static final double DAY_MILLIS = 86_400_000;
 
+    /**
+     * Reads a configuration file.
+     *
+     * @throws ConfigException if the file cannot be read or has errors
+     */
     public static GatewayConfig read(Path file) throws ConfigException {
         return TomlFile.read(file, GatewayConfig::from);
     }
 
+    /**
+     * Reads a configuration from the top-level table of a file. Errors are added to the section; if
+     * there are any, the returned configuration must not be used.
+     */
     public static GatewayConfig from(Section root) {
         Section controller = root.subsection("controller");
-        List<String> zones = named(controller, "zones");
-        List<Section> kindTables = root.subsections("kind");
-        List<String> kinds = new ArrayList<>();
-        List<Double> memory = new ArrayList<>();
-        for (Section kind : kindTables) {
-            unique(kind, kind.text("name"), kinds);
-            memory.add(kind.number("memory_mb", 0, 1e9));
+        List<String> zones = readUniqueNames(controller, "zones");
+        List<Section> kindSections = root.subsections("kind");
+        List<String> invokerKinds = new ArrayList<>();
+        List<Double> memoryMbByKind = new ArrayList<>();
+        for (Section kind : kindSections) {
+            addUniqueName(kind, kind.text("name"), invokerKinds);
+            memoryMbByKind.add(kind.number("memory_mb", 0, 1e9));
         }
-        if (kinds.isEmpty()) {
+        if (invokerKinds.isEmpty()) {
             root.addError("kind", "at least one [[kind]] of invoker is needed");
         }
         List<RequestClass> classes = new ArrayList<>();
         List<String> classNames = new ArrayList<>();
-        for (Section c : root.subsections("class")) {
-            classes.add(requestClass(c, classNames));
+        for (Section requestClass : root.subsections("class")) {
+            classes.add(readRequestClass(requestClass, classNames));
         }
         if (classes.isEmpty()) {
-            root.addError("class", "at least one [[class]] of calls is needed");
+            root.addError("class", "at least one [[class]] of requests is needed");
         }
         List<Tenant> tenants = new ArrayList<>();
         List<String> tenantNames = new ArrayList<>();
-        List<TenantQuotas.TenantLimits> bounds = new ArrayList<>();
-        for (Section t : root.subsections("tenant")) {
-            unique(t, t.text("name"), tenantNames);
+        List<TenantQuotas.TenantLimits> tenantLimits = new ArrayList<>();
+        for (Section tenant : root.subsections("tenant")) {
+            addUniqueName(tenant, tenant.text("name"), tenantNames);
             tenants.add(
                     new Tenant(
                             tenantNames.get(tenantNames.size() - 1),
-                            t.number("share", 0, 1),
-                            t.number("quota_per_s", 0, 1e9)));
-            bounds.add(
+                            tenant.number("share", 0, 1),
+                            tenant.number("quota_per_s", 0, 1e9)));
+            tenantLimits.add(
                     new TenantQuotas.TenantLimits(
-                            t.number("max_per_s", 0, 1e9, 0),
-                            (int) t.integer("max_open", 0, 1_000_000, 0)));
+                            tenant.number("max_per_s", 0, 1e9, 0),
+                            (int) tenant.integer("max_open", 0, 1_000_000, 0)));
         }
         Section limits = root.subsection("limits");
-        Limits moduleLimits =
+        Limits schedulerLimits =
                 new Limits(
                         (int) limits.integer("max_attempts", 1, 100),
                         (int) limits.integer("max_open", 1, 1_000_000),
@@ -181,121 +266,122 @@
                         limits.flag("peers"),
                         limits.flag("overlap"),
                         limits.flag("retry_after"),
-                        limits.microsFromMillis("max_retry_after_ms", 0, DAY),
+                        limits.microsFromMillis("max_retry_after_ms", 0, DAY_MILLIS),
                         limits.microsFromMillis("connect_timeout_ms", 1, 60_000));
         Section rules = root.subsection("rules");
-        Rules moduleRules =
+        Rules schedulerRules =
                 new Rules(
                         rules.microsFromMillis("answer_slack_ms", 0, 60_000),
-                        rules.microsFromMillis("drain_grace_ms", 0, DAY),
+                        rules.microsFromMillis("drain_grace_ms", 0, DAY_MILLIS),
                         rules.number("cold_share", 0, 1),
-                        rules.microsFromMillis("warm_after_ms", 0, DAY),
+                        rules.microsFromMillis("warm_after_ms", 0, DAY_MILLIS),
                         rules.number("fall_multiple", 0, 1e6),
-                        rules.microsFromMillis("overload_ms", 1, DAY),
-                        rules.microsFromMillis("ask_every_ms", 1, DAY));
-        if (moduleLimits.connectTimeoutMicros() >= moduleRules.drainGraceMicros()) {
+                        rules.microsFromMillis("overload_ms", 1, DAY_MILLIS),
+                        rules.microsFromMillis("ask_every_ms", 1, DAY_MILLIS));
+        if (schedulerLimits.connectTimeoutMicros() >= schedulerRules.drainGraceMicros()) {
             limits.addError(
                     "connect_timeout_ms",
-                    "must be below rules.drain_grace_ms: a connection begun before an "
-                            + "invoker is told draining must not deliver after the grace");
+                    "must be below rules.drain_grace_ms: a connection attempt that begins before an"
+                            + " invoker drains must not send a request after the grace");
         }
-        Preloading loading = loading(root.subsection("loading"), memory);
-        Section p = root.subsection("prices");
-        Costs prices =
+        Preloading preloading = readPreloading(root.subsection("loading"), memoryMbByKind);
+        Section prices = root.subsection("prices");
+        Costs costs =
                 new Costs(
-                        price(p, "cross_zone"),
-                        price(p, "waste"),
-                        price(p, "probe"),
-                        price(p, "late_fail"),
-                        price(p, "fetch"),
-                        price(p, "peer"),
-                        price(p, "connection"),
-                        price(p, "handshake"),
-                        price(p, "list_lines"));
-        Section rosterTable = root.subsection("roster");
-        DiscoveryMode discovery =
-                rosterTable.choice("discovery", DiscoveryMode.class, GatewayConfig::word);
+                        readCost(prices, "cross_zone"),
+                        readCost(prices, "waste"),
+                        readCost(prices, "probe"),
+                        readCost(prices, "late_fail"),
+                        readCost(prices, "fetch"),
+                        readCost(prices, "peer"),
+                        readCost(prices, "connection"),
+                        readCost(prices, "handshake"),
+                        readCost(prices, "list_lines"));
+        Section roster = root.subsection("roster");
+        DiscoveryMode discoveryMode =
+                roster.choice("discovery", DiscoveryMode.class, GatewayConfig::settingsWord);
         Section reports = root.subsection("reports");
-        int count = (int) controller.integer("count", 1, 100_000);
-        SchedulerSettings module =
+        int controllerCount = (int) controller.integer("count", 1, 100_000);
+        SchedulerSettings schedulerSettings =
                 new SchedulerSettings(
                         (int) controller.integer("number", 0, 99_999),
-                        count,
+                        controllerCount,
                         controller.indexIn("zone", zones, "zone"),
                         controller.microsFromMillis("tick_ms", 0.1, 1_000),
-                        discovery,
-                        reports.choice("how", LoadReportSource.class, GatewayConfig::word),
+                        discoveryMode,
+                        reports.choice("how", LoadReportSource.class, GatewayConfig::settingsWord),
                         controller.text("weight_kind"),
                         controller.number("over_share_worth", 0, 1),
                         List.copyOf(classes),
                         List.copyOf(tenants),
-                        moduleLimits,
-                        moduleRules,
-                        loading,
-                        prices);
-        if (module.controllerIndex() >= count) {
-            controller.addError("number", "must be below controller.count, which is " + count);
+                        schedulerLimits,
+                        schedulerRules,
+                        preloading,
+                        costs);
+        if (schedulerSettings.controllerIndex() >= controllerCount) {
+            controller.addError(
+                    "number", "must be below controller.count, which is " + controllerCount);
         }
         Section ids = root.subsection("ids");
         Section unknown = root.subsection("unknown_function");
         Map<String, DeclaredFunction> functions = new HashMap<>();
         Map<String, Integer> classByModel = new HashMap<>();
-        for (Section f : root.subsections("function")) {
-            String name = f.text("name");
-            if (functions.put(name, function(f)) != null) {
-                f.addError("name", "is given twice: \"" + name + "\"");
+        for (Section function : root.subsections("function")) {
+            String name = function.text("name");
+            if (functions.put(name, readFunction(function)) != null) {
+                function.addError("name", "is given twice: \"" + name + "\"");
             }
-            if (f.has("class")) {
-                classByModel.put(name, f.indexIn("class", classNames, "class"));
+            if (function.has("class")) {
+                classByModel.put(name, function.indexIn("class", classNames, "class"));
             }
         }
-        Section links = root.subsection("invokers");
+        Section invokers = root.subsection("invokers");
         Section faults = root.subsection("faults");
         Section listen = root.subsection("listen");
         return new GatewayConfig(
-                module,
+                schedulerSettings,
                 controller.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE),
                 zones,
-                kinds,
-                address(listen, "address", null),
-                address(listen, "admin", null),
-                http(root.subsection("http")),
+                invokerKinds,
+                readAddress(listen, "address", null),
+                readAddress(listen, "admin", null),
+                readHttpLimits(root.subsection("http")),
                 (int) listen.integer("max_connections", 1, 1_000_000, 10_000),
                 listen.microsFromMillis("transit_ms", 0, 60_000, 5),
                 new IdempotencyStore.Bounds(
                         (int) ids.integer("entries", 1, 50_000_000, 200_000),
                         ids.integer("bytes", 1_024, 1L << 40, 256L << 20),
                         ids.integer("tolerance_s", 1, 86_400, 300)),
-                endpoints(root, tenantNames, classNames),
+                readWebhookEndpoints(root, tenantNames, classNames),
                 functions,
-                unknownFunction(unknown),
+                readUnknownFunction(unknown),
                 new InvokerConnections(
-                        (int) links.integer("max_connections", 1, 100_000, 256),
-                        links.microsFromMillis("idle_close_ms", 1, DAY, 15_000),
-                        (int) links.integer("answer_bytes", 1, 1 << 30, 8 << 20),
-                        links.integer("all_answer_bytes", 1_024, 1L << 40, 256L << 20)),
-                roster(rosterTable, root, zones, kinds, moduleLimits.mayCheckHealth()),
-                peers(root, count),
-                root.subsection("stop").microsFromMillis("grace_ms", 0, DAY, 10_000),
+                        (int) invokers.integer("max_connections", 1, 100_000, 256),
+                        invokers.microsFromMillis("idle_close_ms", 1, DAY_MILLIS, 15_000),
+                        (int) invokers.integer("answer_bytes", 1, 1 << 30, 8 << 20),
+                        invokers.integer("all_answer_bytes", 1_024, 1L << 40, 256L << 20)),
+                readDiscovery(roster, root, zones, invokerKinds, schedulerLimits.mayCheckHealth()),
+                readGossip(root, controllerCount),
+                root.subsection("stop").microsFromMillis("grace_ms", 0, DAY_MILLIS, 10_000),
                 new FailureLimit(
                         (int) faults.integer("most", 0, 1_000_000, 10),
-                        faults.microsFromMillis("within_ms", 1, DAY, 60_000)),
-                overload(root.subsection("overload")),
-                bounds,
-                edge(root.subsection("edge")),
-                kserve(root.subsection("kserve"), tenantNames, classNames, classByModel),
-                outcomes(root.subsection("outcomes")),
-                access(root.subsection("access_log")));
+                        faults.microsFromMillis("within_ms", 1, DAY_MILLIS, 60_000)),
+                readOverload(root.subsection("overload")),
+                tenantLimits,
+                readConnectionLimits(root.subsection("edge")),
+                readKserve(root.subsection("kserve"), tenantNames, classNames, classByModel),
+                readClassifier(root.subsection("outcomes")),
+                readAccessLog(root.subsection("access_log")));
     }
 
-    private static String word(DiscoveryMode mode) {
+    private static String settingsWord(DiscoveryMode mode) {
         return switch (mode) {
             case PUSH -> "pushed";
             case POLL -> "asked";
         };
     }
 
-    private static String word(LoadReportSource source) {
+    private static String settingsWord(LoadReportSource source) {
         return switch (source) {
             case RESPONSES -> "answers";
             case HEALTH_CHECKS -> "probes";
@@ -303,7 +389,7 @@
         };
     }
 
-    private static String word(Idempotency idempotency) {
+    private static String settingsWord(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "safe";
             case KEYED -> "keyed";
@@ -311,320 +397,351 @@
         };
     }
 
-    private static List<String> named(Section s, String key) {
-        List<String> names = s.texts(key);
+    private static List<String> readUniqueNames(Section section, String key) {
+        List<String> names = section.texts(key);
         if (names.isEmpty()) {
-            s.addError(key, "at least one name is needed");
+            section.addError(key, "at least one name is needed");
             return List.of("");
         }
         if (new HashSet<>(names).size() != names.size()) {
-            s.addError(key, "a name is given twice");
+            section.addError(key, "a name is given twice");
         }
         return names;
     }
 
-    private static void unique(Section s, String name, List<String> names) {
+    /** Adds a name to a list, with an error if the list contains it already. */
+    private static void addUniqueName(Section section, String name, List<String> names) {
         if (names.contains(name)) {
-            s.addError("name", "is given twice: \"" + name + "\"");
+            section.addError("name", "is given twice: \"" + name + "\"");
         }
         names.add(name);
     }
 
-    private static double price(Section s, String key) {
-        return s.number(key, 0, 1e6);
+    private static double readCost(Section prices, String key) {
+        return prices.number(key, 0, 1e6);
     }
 
-    private static RequestClass requestClass(Section c, List<String> names) {
-        unique(c, c.text("name"), names);
-        Idempotency repeat = c.choice("repeat", Idempotency.class, GatewayConfig::word);
-        boolean keyed = repeat == Idempotency.KEYED;
-        if (!keyed && (c.has("group") || c.has("window_ms"))) {
-            c.addError(c.has("group") ? "group" : "window_ms", "only a keyed class has one");
+    /** Reads a request class and adds its name to the names. */
+    private static RequestClass readRequestClass(Section section, List<String> names) {
+        addUniqueName(section, section.text("name"), names);
+        Idempotency idempotency =
+                section.choice("repeat", Idempotency.class, GatewayConfig::settingsWord);
+        boolean keyed = idempotency == Idempotency.KEYED;
+        if (!keyed && (section.has("group") || section.has("window_ms"))) {
+            section.addError(
+                    section.has("group") ? "group" : "window_ms",
+                    "is allowed only in a class with repeat = \"keyed\"");
         }
-        long aim = c.microsFromMillis("aim_ms", 1, DAY);
-        long deadline = c.microsFromMillis("deadline_ms", 1, DAY);
-        if (aim > deadline) {
-            c.addError("aim_ms", "must not be over deadline_ms");
+        long objectiveMicros = section.microsFromMillis("aim_ms", 1, DAY_MILLIS);
+        long deadlineMicros = section.microsFromMillis("deadline_ms", 1, DAY_MILLIS);
+        if (objectiveMicros > deadlineMicros) {
+            section.addError("aim_ms", "must not exceed deadline_ms");
         }
-        DeduplicationScope group =
-                keyed ? c.choice("group", DeduplicationScope.class) : DeduplicationScope.ALL;
-        long window = keyed ? c.microsFromMillis("window_ms", 1, DAY) : 0;
+        DeduplicationScope deduplicationScope =
+                keyed ? section.choice("group", DeduplicationScope.class) : DeduplicationScope.ALL;
+        long deduplicationWindowMicros =
+                keyed ? section.microsFromMillis("window_ms", 1, DAY_MILLIS) : 0;
         return new RequestClass(
                 names.get(names.size() - 1),
-                repeat,
-                group,
-                window,
-                aim,
-                c.number("aim_stretch", 0, 1e6),
-                deadline,
-                c.number("worth", 0, 1e9),
-                c.number("late_worth", 0, 1),
+                idempotency,
+                deduplicationScope,
+                deduplicationWindowMicros,
+                objectiveMicros,
+                section.number("aim_stretch", 0, 1e6),
+                deadlineMicros,
+                section.number("worth", 0, 1e9),
+                section.number("late_worth", 0, 1),
                 false);
     }
 
-    private static Preloading loading(Section s, List<Double> memory) {
+    private static Preloading readPreloading(Section loading, List<Double> memoryMbByKind) {
         return new Preloading(
-                s.flag("miss_answers"),
-                s.flag("orders"),
-                s.flag("tells_start"),
-                s.flag("tells_company"),
-                s.microsFromMillis("keep_alive_ms", 1, DAY),
-                s.microsFromMillis("order_wait_ms", 1, DAY),
-                s.number("idle_memory_price", 0, 1e6),
-                s.number("free_orders", 0, 1e9),
-                s.number("orders_per_call", 0, 1e6),
-                s.microsFromMillis("order_period_ms", 0, DAY),
-                List.copyOf(memory));
+                loading.flag("miss_answers"),
+                loading.flag("orders"),
+                loading.flag("tells_start"),
+                loading.flag("tells_company"),
+                loading.microsFromMillis("keep_alive_ms", 1, DAY_MILLIS),
+                loading.microsFromMillis("order_wait_ms", 1, DAY_MILLIS),
+                loading.number("idle_memory_price", 0, 1e6),
+                loading.number("free_orders", 0, 1e9),
+                loading.number("orders_per_call", 0, 1e6),
+                loading.microsFromMillis("order_period_ms", 0, DAY_MILLIS),
+                List.copyOf(memoryMbByKind));
     }
 
-    private static DeclaredFunction function(Section f) {
+    private static DeclaredFunction readFunction(Section function) {
         return new DeclaredFunction(
-                f.number("memory_mb", 0, 1e9, 0),
-                (int) f.integer("lanes", 0, 100_000, 0),
-                f.microsFromMillis("load_ms", 0, DAY, 0),
-                f.microsFromMillis("work_ms", 0, DAY, 0));
+                function.number("memory_mb", 0, 1e9, 0),
+                (int) function.integer("lanes", 0, 100_000, 0),
+                function.microsFromMillis("load_ms", 0, DAY_MILLIS, 0),
+                function.microsFromMillis("work_ms", 0, DAY_MILLIS, 0));
     }
 
-    private static DeclaredFunction unknownFunction(Section s) {
-        DeclaredFunction told = function(s);
-        return s.flag("accept", true) ? told : null;
+    private static DeclaredFunction readUnknownFunction(Section section) {
+        DeclaredFunction declared = readFunction(section);
+        return section.flag("accept", true) ? declared : null;
     }
 
-    private static HttpLimits http(Section h) {
-        HttpLimits d = HttpLimits.DEFAULT;
+    private static HttpLimits readHttpLimits(Section http) {
+        HttpLimits defaults = HttpLimits.DEFAULT;
         return new HttpLimits(
-                (int) h.integer("start_line_bytes", 64, 1 << 20, d.startLineBytes()),
-                (int) h.integer("headers", 1, 10_000, d.headerCount()),
-                (int) h.integer("header_bytes", 256, 1 << 24, d.headerBytes()),
-                (int) h.integer("body_bytes", 0, 1 << 30, d.bodyBytes()),
-                h.microsFromMillis("head_ms", 1, DAY, d.headMicros() / 1e3),
-                h.microsFromMillis("body_ms", 1, DAY, d.bodyMicros() / 1e3),
-                h.microsFromMillis("idle_ms", 1, DAY, d.idleMicros() / 1e3),
-                h.microsFromMillis("write_ms", 1, DAY, d.writeMicros() / 1e3));
+                (int) http.integer("start_line_bytes", 64, 1 << 20, defaults.startLineBytes()),
+                (int) http.integer("headers", 1, 10_000, defaults.headerCount()),
+                (int) http.integer("header_bytes", 256, 1 << 24, defaults.headerBytes()),
+                (int) http.integer("body_bytes", 0, 1 << 30, defaults.bodyBytes()),
+                http.microsFromMillis("head_ms", 1, DAY_MILLIS, defaults.headMicros() / 1e3),
+                http.microsFromMillis("body_ms", 1, DAY_MILLIS, defaults.bodyMicros() / 1e3),
+                http.microsFromMillis("idle_ms", 1, DAY_MILLIS, defaults.idleMicros() / 1e3),
+                http.microsFromMillis("write_ms", 1, DAY_MILLIS, defaults.writeMicros() / 1e3));
     }
 
-    private static List<WebhookEndpoint> endpoints(
+    private static List<WebhookEndpoint> readWebhookEndpoints(
             Section root, List<String> tenants, List<String> classes) {
-        List<WebhookEndpoint> all = new ArrayList<>();
+        List<WebhookEndpoint> endpoints = new ArrayList<>();
         Set<String> paths = new HashSet<>();
-        for (Section e : root.subsections("endpoint")) {
-            String path = e.text("path");
+        for (Section endpoint : root.subsections("endpoint")) {
+            String path = endpoint.text("path");
             if (!path.isEmpty() && !path.startsWith("/")) {
-                e.addError("path", "must begin with /");
+                endpoint.addError("path", "must begin with /");
             }
             if (!paths.add(path)) {
-                e.addError("path", "is given twice: \"" + path + "\"");
+                endpoint.addError("path", "is given twice: \"" + path + "\"");
             }
             int tenant =
-                    tenants.isEmpty() && !e.has("tenant")
+                    tenants.isEmpty() && !endpoint.has("tenant")
                             ? -1
-                            : e.indexIn("tenant", tenants, "tenant");
-            int kind = e.indexIn("class", classes, "class");
-            String pointer = e.text("function_pointer", "");
-            String fixed = e.text("function", "");
-            if (pointer.isEmpty() == fixed.isEmpty()) {
-                e.addError(
+                            : endpoint.indexIn("tenant", tenants, "tenant");
+            int requestClass = endpoint.indexIn("class", classes, "class");
+            String functionPointer = endpoint.text("function_pointer", "");
+            String fixedFunction = endpoint.text("function", "");
+            if (functionPointer.isEmpty() == fixedFunction.isEmpty()) {
+                endpoint.addError(
                         "function_pointer",
                         "give either function_pointer, a JSON pointer, or function, a name");
-            } else if (!pointer.isEmpty() && !pointer.startsWith("/")) {
-                e.addError(
+            } else if (!functionPointer.isEmpty() && !functionPointer.startsWith("/")) {
+                endpoint.addError(
                         "function_pointer",
                         "must be a JSON pointer (RFC 6901), as in \"/data/function\"");
             }
-            String file = e.text("secrets_file", "");
-            List<String> secrets = file.isEmpty() ? e.texts("secrets") : List.of();
-            if (!file.isEmpty() && e.has("secrets")) {
-                e.addError("secrets_file", "give either secrets or secrets_file");
-            } else if (!file.isEmpty()) {
+            String secretsFile = endpoint.text("secrets_file", "");
+            List<String> secrets = secretsFile.isEmpty() ? endpoint.texts("secrets") : List.of();
+            if (!secretsFile.isEmpty() && endpoint.has("secrets")) {
+                endpoint.addError("secrets_file", "give either secrets or secrets_file");
+            } else if (!secretsFile.isEmpty()) {
                 try {
-                    secrets = SecretsFile.read(file);
-                } catch (IOException wrong) {
-                    e.addError("secrets_file", wrong.getMessage());
+                    secrets = SecretsFile.read(secretsFile);
+                } catch (IOException exception) {
+                    endpoint.addError("secrets_file", exception.getMessage());
                 }
             } else if (secrets.isEmpty()) {
-                e.addError("secrets", "at least one is needed, or secrets_file");
+                endpoint.addError("secrets", "at least one is needed, or secrets_file");
             }
             for (String secret : secrets) {
-                String wrong = SecretFormat.describeError(secret);
-                if (wrong != null) {
-                    e.addError("secrets", wrong);
+                String error = SecretFormat.describeError(secret);
+                if (error != null) {
+                    endpoint.addError("secrets", error);
                 }
             }
-            all.add(new WebhookEndpoint(path, tenant, kind, pointer, fixed, secrets, file));
+            endpoints.add(
+                    new WebhookEndpoint(
+                            path,
+                            tenant,
+                            requestClass,
+                            functionPointer,
+                            fixedFunction,
+                            secrets,
+                            secretsFile));
         }
-        if (all.isEmpty()) {
+        if (endpoints.isEmpty()) {
             root.addError("endpoint", "at least one [[endpoint]] is needed");
         }
-        return all;
+        return endpoints;
     }
 
-    private static OverloadControl.Settings overload(Section s) {
+    private static OverloadControl.Settings readOverload(Section overload) {
         return new OverloadControl.Settings(
-                s.flag("on", true),
-                (int) s.integer("least_open", 1, 1_000_000, 32),
-                s.number("retry_share", 0, 10, 0.2),
-                s.number("retries_per_s", 0, 1e6, 10));
+                overload.flag("on", true),
+                (int) overload.integer("least_open", 1, 1_000_000, 32),
+                overload.number("retry_share", 0, 10, 0.2),
+                overload.number("retries_per_s", 0, 1e6, 10));
     }
 
-    private static HealthTrackingClassifier.Settings outcomes(Section s) {
+    private static HealthTrackingClassifier.Settings readClassifier(Section outcomes) {
         return new HealthTrackingClassifier.Settings(
-                s.number("attempts_per_call", 1, 100, 2),
-                (int) s.integer("failed_tries", 1, 100, 2),
-                s.number("eject_share", 0, 1, 0.3),
-                (int) s.integer("breaker_calls", 1, 1_000_000, 5),
-                s.microsFromMillis("breaker_pause_ms", 1, DAY, 250),
-                s.microsFromMillis("breaker_most_ms", 1, DAY, 1_000),
-                (int) s.integer("functions", 1, 10_000_000, 20_000));
+                outcomes.number("attempts_per_call", 1, 100, 2),
+                (int) outcomes.integer("failed_tries", 1, 100, 2),
+                outcomes.number("eject_share", 0, 1, 0.3),
+                (int) outcomes.integer("breaker_calls", 1, 1_000_000, 5),
+                outcomes.microsFromMillis("breaker_pause_ms", 1, DAY_MILLIS, 250),
+                outcomes.microsFromMillis("breaker_most_ms", 1, DAY_MILLIS, 1_000),
+                (int) outcomes.integer("functions", 1, 10_000_000, 20_000));
     }
 
-    private static FileAccessLog.Settings access(Section s) {
-        String file = s.text("file", "");
-        if (file.isEmpty() && (s.has("share") || s.has("queue"))) {
-            s.addError("file", "is missing: without it there is no access log");
+    private static FileAccessLog.Settings readAccessLog(Section accessLog) {
+        String file = accessLog.text("file", "");
+        if (file.isEmpty() && (accessLog.has("share") || accessLog.has("queue"))) {
+            accessLog.addError("file", "is missing: without it there is no access log");
         }
         return new FileAccessLog.Settings(
-                file, s.number("share", 0, 1, 1), (int) s.integer("queue", 16, 10_000_000, 8_192));
+                file,
+                accessLog.number("share", 0, 1, 1),
+                (int) accessLog.integer("queue", 16, 10_000_000, 8_192));
     }
 
-    private static ConnectionLimits edge(Section s) {
-        ConnectionLimits edge =
+    private static ConnectionLimits readConnectionLimits(Section edge) {
+        ConnectionLimits limits =
                 new ConnectionLimits(
-                        s.integer("body_bytes", 1_024, 1L << 40, 256L << 20),
-                        (int) s.integer("connections_per_network", 1, 1_000_000, 5_000),
-                        (int) s.integer("v4_prefix", 0, 32, 24),
-                        (int) s.integer("v6_prefix", 0, 128, 64),
-                        s.texts("trusted"),
-                        s.texts("barred"));
+                        edge.integer("body_bytes", 1_024, 1L << 40, 256L << 20),
+                        (int) edge.integer("connections_per_network", 1, 1_000_000, 5_000),
+                        (int) edge.integer("v4_prefix", 0, 32, 24),
+                        (int) edge.integer("v6_prefix", 0, 128, 64),
+                        edge.texts("trusted"),
+                        edge.texts("barred"));
         for (String key : List.of("trusted", "barred")) {
-            for (String each :
-                    key.equals("trusted") ? edge.trustedNetworks() : edge.barredNetworks()) {
-                if (!NetworkSet.isValid(each)) {
-                    s.addError(
+            for (String network :
+                    key.equals("trusted") ? limits.trustedNetworks() : limits.barredNetworks()) {
+                if (!NetworkSet.isValid(network)) {
+                    edge.addError(
                             key,
                             "must hold networks as 10.0.0.0/8 or 2001:db8::/32, not \""
-                                    + each
+                                    + network
                                     + "\"");
                 }
             }
         }
-        return edge;
+        return limits;
     }
 
-    private static Kserve kserve(
-            Section s, List<String> tenants, List<String> classes, Map<String, Integer> byModel) {
-        Map<String, Integer> keys = new HashMap<>();
-        for (Section k : s.subsections("key")) {
+    private static Kserve readKserve(
+            Section kserve,
+            List<String> tenants,
+            List<String> classes,
+            Map<String, Integer> classByModel) {
+        Map<String, Integer> tenantByKeyHash = new HashMap<>();
+        for (Section key : kserve.subsections("key")) {
             int tenant =
-                    tenants.isEmpty() && !k.has("tenant")
+                    tenants.isEmpty() && !key.has("tenant")
                             ? -1
-                            : k.indexIn("tenant", tenants, "tenant");
-            String hash = k.text("sha256");
-            if (!hash.isEmpty() && !hash.matches("[0-9a-f]{64}")) {
-                k.addError(
+                            : key.indexIn("tenant", tenants, "tenant");
+            String keyHash = key.text("sha256");
+            if (!keyHash.isEmpty() && !keyHash.matches("[0-9a-f]{64}")) {
+                key.addError(
                         "sha256",
-                        "must be the SHA-256 of the bearer key, 64 hex figures in lower case");
+                        "must be the SHA-256 of the bearer key, 64 hex digits in lower case");
             }
-            if (keys.put(hash, tenant) != null) {
-                k.addError("sha256", "is given twice");
+            if (tenantByKeyHash.put(keyHash, tenant) != null) {
+                key.addError("sha256", "is given twice");
             }
         }
-        int kind = keys.isEmpty() && !s.has("class") ? 0 : s.indexIn("class", classes, "class");
+        int requestClass =
+                tenantByKeyHash.isEmpty() && !kserve.has("class")
+                        ? 0
+                        : kserve.indexIn("class", classes, "class");
         return new Kserve(
-                kind, keys, byModel, (int) s.integer("json_bytes", 256, 1 << 30, 1 << 20));
+                requestClass,
+                tenantByKeyHash,
+                classByModel,
+                (int) kserve.integer("json_bytes", 256, 1 << 30, 1 << 20));
     }
 
-    private static Discovery roster(
-            Section r,
+    private static Discovery readDiscovery(
+            Section roster,
             Section root,
             List<String> zones,
-            List<String> kinds,
+            List<String> invokerKinds,
             boolean mayCheckHealth) {
-        List<InvokerEndpoint> fixed = new ArrayList<>();
+        List<InvokerEndpoint> fixedEndpoints = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (Section i : root.subsections("invoker")) {
-            InetSocketAddress at = address(i, "address", null);
-            String id = at == null ? "" : invokerId(at);
+        for (Section invoker : root.subsections("invoker")) {
+            InetSocketAddress address = readAddress(invoker, "address", null);
+            String id = address == null ? "" : invokerId(address);
             if (!ids.add(id)) {
-                i.addError("address", "is given twice: " + id);
+                invoker.addError("address", "is given twice: " + id);
             }
-            fixed.add(
+            fixedEndpoints.add(
                     new InvokerEndpoint(
                             id,
-                            i.indexIn("zone", zones, "zone"),
-                            (int) i.integer("cell", 0, 1_000_000, 0),
-                            i.indexIn("kind", kinds, "kind"),
+                            invoker.indexIn("zone", zones, "zone"),
+                            (int) invoker.integer("cell", 0, 1_000_000, 0),
+                            invoker.indexIn("kind", invokerKinds, "kind"),
                             EndpointState.READY,
-                            i.number("weight", 0, 1e6, 1),
+                            invoker.number("weight", 0, 1e6, 1),
                             0));
         }
-        InetSocketAddress at = r.has("address") ? address(r, "address", null) : null;
-        String service = r.text("service", "invokers");
-        if (at == null == fixed.isEmpty()) {
-            r.addError(
-                    at == null ? "" : "address",
+        InetSocketAddress healthApiAddress =
+                roster.has("address") ? readAddress(roster, "address", null) : null;
+        String service = roster.text("service", "invokers");
+        if (healthApiAddress == null == fixedEndpoints.isEmpty()) {
+            roster.addError(
+                    healthApiAddress == null ? "" : "address",
                     "give either roster.address, a health API, or [[invoker]] entries");
         }
         return new Discovery(
-                fixed,
-                at,
+                fixedEndpoints,
+                healthApiAddress,
                 service,
-                r.microsFromMillis("wait_ms", 1, 600_000, 10_000),
-                r.microsFromMillis("retry_ms", 1, DAY, 200),
-                r.microsFromMillis("retry_most_ms", 1, DAY, 5_000),
-                validMicros(r, mayCheckHealth));
+                roster.microsFromMillis("wait_ms", 1, 600_000, 10_000),
+                roster.microsFromMillis("retry_ms", 1, DAY_MILLIS, 200),
+                roster.microsFromMillis("retry_most_ms", 1, DAY_MILLIS, 5_000),
+                readValidAfterFailureMicros(roster, mayCheckHealth));
     }
 
     /**
-     * Without health checks nothing but the list tells of an invoker: then it is acted on for ever,
-     * unless the setting says otherwise.
+     * Reads how long the endpoint list may be acted on after a failed query. The default without
+     * health checks is for ever, since no other source tells whether an invoker is up.
      */
-    private static long validMicros(Section roster, boolean mayCheckHealth) {
+    private static long readValidAfterFailureMicros(Section roster, boolean mayCheckHealth) {
         if (!roster.has("valid_ms") && !mayCheckHealth) {
             return PollFreshness.UNLIMITED;
         }
-        return roster.microsFromMillis("valid_ms", 0, DAY, DEFAULT_LIST_VALID_MILLIS);
+        return roster.microsFromMillis("valid_ms", 0, DAY_MILLIS, DEFAULT_LIST_VALID_MILLIS);
     }
 
-    private static Gossip peers(Section root, int count) {
-        Section p = root.subsection("peers");
-        InetSocketAddress listen = p.has("listen") ? address(p, "listen", null) : null;
-        Map<Integer, InetSocketAddress> others = new HashMap<>();
-        for (Section o : p.subsections("peer")) {
-            int number = (int) o.integer("number", 0, Math.max(0, count - 1));
-            if (others.put(number, address(o, "address", null)) != null) {
-                o.addError("number", "is given twice: " + number);
+    private static Gossip readGossip(Section root, int controllerCount) {
+        Section peers = root.subsection("peers");
+        InetSocketAddress listenAddress =
+                peers.has("listen") ? readAddress(peers, "listen", null) : null;
+        Map<Integer, InetSocketAddress> peerAddresses = new HashMap<>();
+        for (Section peer : peers.subsections("peer")) {
+            int controllerIndex = (int) peer.integer("number", 0, Math.max(0, controllerCount - 1));
+            if (peerAddresses.put(controllerIndex, readAddress(peer, "address", null)) != null) {
+                peer.addError("number", "is given twice: " + controllerIndex);
             }
         }
-        if (listen == null && !others.isEmpty()) {
-            p.addError("listen", "is missing: peers answer to it");
+        if (listenAddress == null && !peerAddresses.isEmpty()) {
+            peers.addError("listen", "is missing: peers send to it");
         }
-        return new Gossip(listen, others);
+        return new Gossip(listenAddress, peerAddresses);
     }
 
-    /** An address and port in figures; names would need look-ups, which block. */
-    private static InetSocketAddress address(Section s, String key, InetSocketAddress otherwise) {
-        if (!s.has(key) && otherwise != null) {
-            return otherwise;
+    /**
+     * Reads a numeric address with a port; null with an error if it is none. Host names are not
+     * allowed: resolving them would block.
+     */
+    private static InetSocketAddress readAddress(
+            Section section, String key, InetSocketAddress defaultAddress) {
+        if (!section.has(key) && defaultAddress != null) {
+            return defaultAddress;
         }
-        String text = s.text(key);
-        InetSocketAddress at = parseAddress(text);
-        if (at == null && !text.isEmpty()) {
-            s.addError(
+        String text = section.text(key);
+        InetSocketAddress address = parseAddress(text);
+        if (address == null && !text.isEmpty()) {
+            section.addError(
                     key,
-                    "must be address:port in figures, as 127.0.0.1:8080 or [::1]:8080, not \""
+                    "must be a numeric address:port, as 127.0.0.1:8080 or [::1]:8080, not \""
                             + text
                             + "\"");
         }
-        return at;
+        return address;
     }
 
-    /** Reads address:port in figures, without any look-up; null where it is not one. */
+    /** Parses a numeric address with a port; null for any other text, also for a host name. */
     public static InetSocketAddress parseAddress(String text) {
         return SocketAddresses.parse(text).orElse(null);
     }
 
-    /** The id of an invoker: its address and port. */
-    public static String invokerId(InetSocketAddress at) {
-        return SocketAddresses.format(at);
+    /** Returns the id of the invoker at an address: the address and port as text. */
+    public static String invokerId(InetSocketAddress address) {
+        return SocketAddresses.format(address);
     }
 }
--- a/src/main/java/waytrestle/config/SecretsFile.java
+++ b/src/main/java/waytrestle/config/SecretsFile.java
@@ -8,9 +8,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** A file of webhook secrets, one a line; empty lines and lines that begin with # are left out. */
+/**
+ * Reads a file of webhook secrets, one per line. Empty lines and lines that begin with # are
+ * ignored.
+ */
 public final class SecretsFile {
-    private static final Set<PosixFilePermission> OTHERS =
+    /** Permissions by which users other than the owner could read or replace the secrets. */
+    private static final Set<PosixFilePermission> FORBIDDEN_PERMISSIONS =
             Set.of(
                     PosixFilePermission.GROUP_READ,
                     PosixFilePermission.GROUP_WRITE,
@@ -20,19 +24,24 @@
     private SecretsFile() {}
 
     /**
-     * The secrets; an exception's message says what is wrong, with the line, and never holds a
-     * secret.
+     * Returns the secrets of a file, with their prefixes, in the order of the lines.
+     *
+     * @throws IOException if the file cannot be read, other users may read or write it, it contains
+     *     no secret, or a line is not a valid secret. The message never contains a secret; for an
+     *     invalid line it gives the line number.
      */
     public static List<String> read(String file) throws IOException {
         Path path = Path.of(file);
         if (!Files.isRegularFile(path)) {
-            throw new IOException(file + ": is no file that can be read");
+            throw new IOException(file + ": does not exist or is not a regular file");
         }
         if (path.getFileSystem().supportedFileAttributeViews().contains("posix")) {
-            for (PosixFilePermission each : Files.getPosixFilePermissions(path)) {
-                if (OTHERS.contains(each)) {
+            for (PosixFilePermission permission : Files.getPosixFilePermissions(path)) {
+                if (FORBIDDEN_PERMISSIONS.contains(permission)) {
                     throw new IOException(
-                            file + ": others than its owner may read or write it; chmod 600");
+                            file
+                                    + ": must be readable and writable by its owner alone; run"
+                                    + " chmod 600");
                 }
             }
         }
@@ -43,14 +52,14 @@
             if (line.isEmpty() || line.startsWith("#")) {
                 continue;
             }
-            String wrong = SecretFormat.describeError(line);
-            if (wrong != null) {
-                throw new IOException(file + ":" + (i + 1) + ": " + wrong);
+            String error = SecretFormat.describeError(line);
+            if (error != null) {
+                throw new IOException(file + ":" + (i + 1) + ": " + error);
             }
             secrets.add(line);
         }
         if (secrets.isEmpty()) {
-            throw new IOException(file + ": holds no secret");
+            throw new IOException(file + ": contains no secret");
         }
         return secrets;
     }
--- a/src/main/java/waytrestle/config/TomlFile.java
+++ b/src/main/java/waytrestle/config/TomlFile.java
@@ -10,11 +10,20 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a whole TOML file by a reader of its sections, or says everything that is wrong with it.
+ * Reads a value from a TOML file. If the file has errors, all of them are reported in one {@link
+ * ConfigException}: errors of the TOML syntax, or otherwise errors reported by the reader and keys
+ * that the reader did not read.
  */
 public final class TomlFile {
     private TomlFile() {}
 
+    /**
+     * Reads a file.
+     *
+     * @param reader builds the value from the top-level table and reports errors to it; must return
+     *     normally even if there are errors
+     * @throws ConfigException if the file cannot be read or has errors
+     */
     public static <T> T read(Path file, Function<Section, T> reader) throws ConfigException {
         String text;
         try {
@@ -31,29 +40,44 @@
         return parse(text, file.getFileName().toString(), reader);
     }
 
+    /**
+     * Parses the text of a file.
+     *
+     * @param name name of the file in error messages
+     * @param reader builds the value from the top-level table and reports errors to it; must return
+     *     normally even if there are errors
+     * @throws ConfigException if the text has errors
+     */
     public static <T> T parse(String text, String name, Function<Section, T> reader)
             throws ConfigException {
-        Section.Errors faults = new Section.Errors(name);
+        Section.Errors errors = new Section.Errors(name);
         TomlParseResult toml = Toml.parse(text);
-        toml.errors().forEach(e -> faults.add(e.position().line(), "", e.getMessage()));
-        if (!faults.isEmpty()) {
-            throw new ConfigException(faults.messages());
+        toml.errors().forEach(error -> errors.add(error.position().line(), "", error.getMessage()));
+        if (!errors.isEmpty()) {
+            throw new ConfigException(errors.messages());
         }
-        Section root = new Section(toml, "", 1, faults);
+        Section root = new Section(toml, "", 1, errors);
         T value = reader.apply(root);
         root.reportUnknownKeys();
-        if (!faults.isEmpty()) {
-            throw new ConfigException(faults.messages());
+        if (!errors.isEmpty()) {
+            throw new ConfigException(errors.messages());
         }
         return value;
     }
 
-    /** The names of an array of tables, for what must know them before the whole is checked. */
+    /**
+     * Returns the value of {@code name} in each table of an array of tables, in order; a missing
+     * name is returned as an empty string. Reports no errors, so that the names can be used before
+     * the whole file is checked.
+     *
+     * @param text text of the file
+     * @param key key of the array of tables at the top level
+     */
     public static List<String> tableNames(String text, String key) {
-        List<String> all = new ArrayList<>();
+        List<String> names = new ArrayList<>();
         new Section(Toml.parse(text), "", 1, new Section.Errors(""))
                 .subsections(key)
-                .forEach(s -> all.add(s.text("name")));
-        return all;
+                .forEach(section -> names.add(section.text("name")));
+        return names;
     }
 }
