--- a/src/main/java/waytrestle/gateway/ConnectionGuard.java
+++ b/src/main/java/waytrestle/gateway/ConnectionGuard.java
@@ -9,32 +9,38 @@
 import waytrestle.overload.ConnectionAdmission;
 import waytrestle.overload.ConnectionAdmission.TrustLevel;
 
-/** Puts connections and bodies before the modules that bound them. */
+/**
+ * Applies the configured limits to client connections and to the bodies on them.
+ *
+ * <p>Not thread-safe: used by the controller's event loop.
+ */
 final class ConnectionGuard implements ServerAdmission {
-    private final GatewayConfig.ConnectionLimits edge;
-    private final ConnectionAdmission gate;
-    private final ByteBudget budget;
-    private final NetworkSet trusted, barred;
+    private final GatewayConfig.ConnectionLimits limits;
+    private final ConnectionAdmission admission;
+    private final ByteBudget bodyBudget;
+    private final NetworkSet trustedNetworks, barredNetworks;
 
     ConnectionGuard(GatewayConfig config) {
-        edge = config.connectionLimits();
-        gate = new ConnectionAdmission(config.maxConnections(), edge.maxPerNetwork());
-        budget = new ByteBudget(edge.maxTotalBodyBytes());
-        trusted = new NetworkSet(edge.trustedNetworks());
-        barred = new NetworkSet(edge.barredNetworks());
+        limits = config.connectionLimits();
+        admission = new ConnectionAdmission(config.maxConnections(), limits.maxPerNetwork());
+        bodyBudget = new ByteBudget(limits.maxTotalBodyBytes());
+        trustedNetworks = new NetworkSet(limits.trustedNetworks());
+        barredNetworks = new NetworkSet(limits.barredNetworks());
     }
 
-    private String network(InetAddress from) {
-        return NetworkSet.networkOf(from, edge.ipv4PrefixBits(), edge.ipv6PrefixBits());
+    private String networkOf(InetAddress source) {
+        return NetworkSet.networkOf(source, limits.ipv4PrefixBits(), limits.ipv6PrefixBits());
     }
 
     @Override
-    public String tryAdmit(InetAddress from) {
-        TrustLevel standing =
-                barred.contains(from)
+    public String tryAdmit(InetAddress source) {
+        TrustLevel trustLevel =
+                barredNetworks.contains(source)
                         ? TrustLevel.BARRED
-                        : trusted.contains(from) ? TrustLevel.TRUSTED : TrustLevel.ORDINARY;
-        ConnectionAdmission.Reason reason = gate.tryAdmit(network(from), standing);
+                        : trustedNetworks.contains(source)
+                                ? TrustLevel.TRUSTED
+                                : TrustLevel.ORDINARY;
+        ConnectionAdmission.Reason reason = admission.tryAdmit(networkOf(source), trustLevel);
         return reason == null
                 ? null
                 : switch (reason) {
@@ -45,35 +51,37 @@
     }
 
     @Override
-    public void connectionClosed(InetAddress from) {
-        gate.release(network(from));
+    public void connectionClosed(InetAddress source) {
+        admission.release(networkOf(source));
     }
 
     @Override
     public boolean canEverReserve(long bytes) {
-        return budget.canEverReserve(bytes);
+        return bodyBudget.canEverReserve(bytes);
     }
 
     @Override
     public boolean tryReserve(long connection, long bytes) {
-        return budget.tryReserve(connection, bytes);
+        return bodyBudget.tryReserve(connection, bytes);
     }
 
     @Override
     public void reserve(long connection, long bytes) {
-        budget.reserve(connection, bytes);
+        bodyBudget.reserve(connection, bytes);
     }
 
     @Override
-    public void release(long connection, LongConsumer granted) {
-        budget.release(connection, granted);
+    public void release(long connection, LongConsumer onReserved) {
+        bodyBudget.release(connection, onReserved);
     }
 
+    /** Returns the number of bytes reserved for bodies on all connections. */
     long reservedBodyBytes() {
-        return budget.reservedBytes();
+        return bodyBudget.reservedBytes();
     }
 
+    /** Returns the number of bodies that are not read yet because the byte budget is used up. */
     int waitingBodies() {
-        return budget.pendingReservations();
+        return bodyBudget.pendingReservations();
     }
 }
--- a/src/main/java/waytrestle/gateway/EndpointSource.java
+++ b/src/main/java/waytrestle/gateway/EndpointSource.java
@@ -15,8 +15,8 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
 /**
- * Where a gateway's controller has its endpoint list from: a fixed list, or a health API, whose
- * outages it logs and counts.
+ * Provides a gateway's controller with its endpoint list, either the fixed one of the configuration
+ * or that of a health API. Logs and counts the outages of the health API.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -28,16 +28,28 @@
     private final GatewayConfig config;
     private final Controller controller;
     private final EndpointDirectory directory;
+
+    /** Null with a fixed list. */
     private final ConsulPoller poller;
+
+    /** Whether the latest query to the health API has failed or its response is overdue. */
     private boolean lost;
+
+    /** Monotonic time of the start of the latest outage. */
     private long lostAtMicros;
+
     private long outages;
 
+    /**
+     * Creates a source that provides nothing before {@link #start}.
+     *
+     * @param unixMillis returns the wall-clock time, to translate the start times of invokers
+     */
     EndpointSource(
             GatewayConfig config, Controller controller, Loop loop, LongSupplier unixMillis) {
         this.config = config;
         this.controller = controller;
-        this.directory = directory();
+        this.directory = createDirectory();
         this.poller =
                 isFixed()
                         ? null
@@ -53,15 +65,15 @@
         return config.schedulerSettings().discovery() == DiscoveryMode.POLL;
     }
 
-    private EndpointDirectory directory() {
-        GatewayConfig.Discovery roster = config.discovery();
-        long responseMicros = roster.queryWaitMicros() + ConsulPoller.RESPONSE_SLACK_MICROS;
+    private EndpointDirectory createDirectory() {
+        GatewayConfig.Discovery discovery = config.discovery();
+        long responseMicros = discovery.queryWaitMicros() + ConsulPoller.RESPONSE_SLACK_MICROS;
         return new EndpointDirectory(
-                roster.minRetryPauseMicros(),
-                roster.maxRetryPauseMicros(),
+                discovery.minRetryPauseMicros(),
+                discovery.maxRetryPauseMicros(),
                 isPolledOnDemand(),
                 config.seed(),
-                new PollFreshness.Limits(responseMicros, roster.validAfterFailureMicros()));
+                new PollFreshness.Limits(responseMicros, discovery.validAfterFailureMicros()));
     }
 
     private ConsulPoller.Settings pollerSettings() {
@@ -75,7 +87,7 @@
                 config.invokerKinds());
     }
 
-    /** Names what is measured here. */
+    /** Registers the metrics of the health API; none with a fixed list. */
     void registerMetrics(Metrics metrics) {
         if (isFixed()) {
             return;
@@ -91,12 +103,15 @@
         metrics.registerGauge("waytrestle_roster_outages", "", () -> outages);
     }
 
-    /** Hands over the fixed list, or begins to poll. */
+    /**
+     * Hands the fixed list to the controller, or an empty one if the health API is polled on
+     * demand, or else starts the blocking queries.
+     */
     void start() {
         if (isFixed()) {
             publishFixed();
         } else if (isPolledOnDemand()) {
-            // The scheduler subscribes once it has received a list, empty as yet.
+            // The scheduler subscribes only after it has received a list, so it gets an empty one.
             controller.endpointsUpdated(new EndpointsUpdated(true, true, List.of()));
         } else {
             poller.setSubscribed(true);
@@ -108,14 +123,14 @@
                 new EndpointsUpdated(true, false, config.discovery().fixedEndpoints()));
     }
 
-    /** Starts or stops following the health API. */
+    /** Starts or stops the blocking queries to the health API; no effect with a fixed list. */
     void subscribe(boolean enabled) {
         if (!isFixed()) {
             poller.setSubscribed(enabled);
         }
     }
 
-    /** Hands over the list once. */
+    /** Hands the fixed list to the controller, or queries the health API once. */
     void fetch() {
         if (isFixed()) {
             publishFixed();
@@ -124,7 +139,9 @@
         }
     }
 
-    /** Takes in what the health API has sent already, where the event loop was busy elsewhere. */
+    /**
+     * Reads responses that the health API has already sent, if the event loop was busy for long.
+     */
     void pollIfBehind() {
         if (!isFixed()) {
             poller.pollIfBehind();
@@ -142,25 +159,27 @@
     }
 
     private void freshnessChanged(EndpointDirectory.PublishFreshness freshness) {
-        long now = Loop.nowMicros();
+        long nowMicros = Loop.nowMicros();
         if (freshness.current() && lost) {
             lost = false;
-            LOG.info("discovery.restored after_ms={}", (now - lostAtMicros) / MICROS_PER_MILLI);
+            LOG.info(
+                    "discovery.restored after_ms={}",
+                    (nowMicros - lostAtMicros) / MICROS_PER_MILLI);
         } else if (!freshness.current() && !lost) {
             lost = true;
-            lostAtMicros = now;
+            lostAtMicros = nowMicros;
             outages++;
             LOG.warn(
                     "discovery.lost endpoints={} outdated_in_ms={}",
                     directory.size(),
-                    outdatedIn(freshness.receivedAtMicros(), now));
+                    millisUntilOutdated(freshness.receivedAtMicros(), nowMicros));
         }
         controller.listFreshnessChanged(freshness.receivedAtMicros(), false);
     }
 
-    private static String outdatedIn(long receivedAtMicros, long now) {
+    private static String millisUntilOutdated(long receivedAtMicros, long nowMicros) {
         return receivedAtMicros == PollFreshness.UNLIMITED
                 ? "never"
-                : Long.toString((receivedAtMicros - now) / MICROS_PER_MILLI);
+                : Long.toString((receivedAtMicros - nowMicros) / MICROS_PER_MILLI);
     }
 }
--- a/src/main/java/waytrestle/gateway/EventLoopTransport.java
+++ b/src/main/java/waytrestle/gateway/EventLoopTransport.java
@@ -3,10 +3,11 @@
 import waytrestle.controller.Transport;
 import waytrestle.net.Loop;
 
-/** A host whose time is a loop's. */
+/** A transport whose clock and timers are those of an event loop. */
 public abstract class EventLoopTransport implements Transport {
     protected final Loop loop;
 
+    /** Creates a transport on the given event loop. */
     protected EventLoopTransport(Loop loop) {
         this.loop = loop;
     }
@@ -17,7 +18,7 @@
     }
 
     @Override
-    public void schedule(long micros, Runnable task) {
-        loop.after(micros, task);
+    public void schedule(long delayMicros, Runnable task) {
+        loop.after(delayMicros, task);
     }
 }
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -35,27 +35,45 @@
 import waytrestle.overload.OverloadControl;
 import waytrestle.requests.AdmissionControl;
 
-/** A running gateway: one loop with its controller, fronts, roster and pages. */
+/**
+ * A running gateway: a controller with its front ends, its source of the endpoint list, its gossip
+ * and its metrics and health pages, all on one event loop.
+ *
+ * <p>Public methods may be called from any thread.
+ */
 public final class Gateway {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-    private static final long FLUSH = 100_000; // micros at the end for last answers to leave
-    private static final long LINGER =
-            1_000_000; // micros of a stop in which kept connections are told to close by
-    // their next answer: clients that call often are not cut
-    private static final long LOOK =
-            10_000; // micros between looks at what is still open during a stop
+
+    /** Time at the end of a shutdown in which the last responses are sent. */
+    private static final long FLUSH_MICROS = 100_000;
+
+    /**
+     * Time of a shutdown in which idle keep-alive connections are left open, so that the next
+     * response can tell the client to close. A request that a client sends while its connection is
+     * closed would be lost.
+     */
+    private static final long IDLE_LINGER_MICROS = 1_000_000;
+
+    /** Interval at which a shutdown checks for open connections and requests in flight. */
+    private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 10_000;
 
     private final GatewayConfig config;
     private final Loop loop;
     private final Metrics metrics = new Metrics();
-    private final AtomicInteger exit = new AtomicInteger();
+    private final AtomicInteger exitCode = new AtomicInteger();
     private Controller controller;
     private Router router;
-    private WebhookFront webhooks;
-    private FileAccessLog access;
+    private WebhookFront webhookFront;
+
+    /** Null if the configuration names no access log. */
+    private FileAccessLog accessLog;
+
     private HttpServer server, admin;
     private EndpointSource endpoints;
-    private GossipSocket peers;
+
+    /** Null if the configuration names no address for gossip. */
+    private GossipSocket gossip;
+
     private boolean stopping;
 
     private Gateway(GatewayConfig config) throws IOException {
@@ -66,30 +84,46 @@
                         e -> LOG.error("handler.failed", e));
     }
 
-    public static Gateway start(GatewayConfig config, Controller.SchedulerFactory maker)
+    /**
+     * Starts a gateway with the wall clock of the system.
+     *
+     * @throws IOException if an address cannot be bound or the access log cannot be opened
+     */
+    public static Gateway start(GatewayConfig config, Controller.SchedulerFactory schedulerFactory)
             throws IOException {
-        return start(config, maker, System::currentTimeMillis);
+        return start(config, schedulerFactory, System::currentTimeMillis);
     }
 
-    /** Starts on ports as configured; the wall clock serves signing times and told starts alone. */
+    /**
+     * Starts a gateway on the configured addresses.
+     *
+     * @param wallMillis returns the wall-clock time; used only for signing times and for the start
+     *     times that invokers report
+     * @throws IOException if an address cannot be bound or the access log cannot be opened
+     */
     public static Gateway start(
-            GatewayConfig config, Controller.SchedulerFactory maker, LongSupplier wallMillis)
+            GatewayConfig config,
+            Controller.SchedulerFactory schedulerFactory,
+            LongSupplier wallMillis)
             throws IOException {
-        Gateway made = new Gateway(config);
-        made.assemble(maker, wallMillis);
-        made.loop.start();
+        Gateway gateway = new Gateway(config);
+        gateway.assemble(schedulerFactory, wallMillis);
+        gateway.loop.start();
         LOG.info(
                 "gateway.started controller={} controllers={} address={}:{} admin_port={}",
                 config.schedulerSettings().controllerIndex(),
                 config.schedulerSettings().controllerCount(),
                 config.listenAddress().getAddress().getHostAddress(),
-                made.port(),
-                made.admin.port());
-        return made;
+                gateway.port(),
+                gateway.admin.port());
+        return gateway;
     }
 
-    /** Before the loop runs, so nothing here races with it. */
-    private void assemble(Controller.SchedulerFactory maker, LongSupplier wallMillis)
+    /**
+     * Creates and connects the parts of the gateway. Called before the loop's thread starts, so
+     * that no part is used while it is created.
+     */
+    private void assemble(Controller.SchedulerFactory schedulerFactory, LongSupplier wallMillis)
             throws IOException {
         OverloadControl overload =
                 new OverloadControl(
@@ -98,9 +132,10 @@
                         config.schedulerSettings().tenants(),
                         config.tenantLimits(),
                         config.schedulerSettings().classes());
-        AdmissionControl gate = config.overload().enabled() ? overload : AdmissionControl.ADMIT_ALL;
+        AdmissionControl admissionControl =
+                config.overload().enabled() ? overload : AdmissionControl.ADMIT_ALL;
         if (!config.accessLog().file().isEmpty()) {
-            access =
+            accessLog =
                     new FileAccessLog(
                             config.accessLog(),
                             config.seed(),
@@ -111,24 +146,28 @@
                     "Lines of the access log, written or dropped "
                             + "because the disk was slow or full.",
                     out -> {
-                        out.accept("end=\"written\"", access.writtenLines());
-                        out.accept("end=\"dropped\"", access.droppedLines());
+                        out.accept("end=\"written\"", accessLog.writtenLines());
+                        out.accept("end=\"dropped\"", accessLog.droppedLines());
                     });
         }
-        GatewayControllerListener watch =
+        GatewayControllerListener controllerListener =
                 new GatewayControllerListener(
-                        config, maker, gate, metrics, Math.floorDiv(wallMillis.getAsLong(), 1_000));
+                        config,
+                        schedulerFactory,
+                        admissionControl,
+                        metrics,
+                        Math.floorDiv(wallMillis.getAsLong(), 1_000));
         controller =
                 new Controller(
                         new SocketTransport(loop, config),
-                        watch.dependencies(),
+                        controllerListener.dependencies(),
                         wallMillis,
-                        watch,
-                        access == null ? AccessLog.OFF : access,
+                        controllerListener,
+                        accessLog == null ? AccessLog.OFF : accessLog,
                         new ControllerEnvironment() {
                             @Override
-                            public void subscribe(boolean on) {
-                                endpoints.subscribe(on);
+                            public void subscribe(boolean enabled) {
+                                endpoints.subscribe(enabled);
                             }
 
                             @Override
@@ -143,36 +182,36 @@
 
                             @Override
                             public void sendGossip(int peer, byte[] message) {
-                                if (peers != null) {
-                                    peers.send(peer, message);
+                                if (gossip != null) {
+                                    gossip.send(peer, message);
                                 }
                             }
 
                             @Override
-                            public void schedulerFailed(String why) {
-                                LOG.error("scheduler.failed reason=\"{}\"", why);
-                                exit.set(3);
+                            public void schedulerFailed(String reason) {
+                                LOG.error("scheduler.failed reason=\"{}\"", reason);
+                                exitCode.set(3);
                                 stop();
                             }
                         });
-        watch.registerMetrics(controller);
+        controllerListener.registerMetrics(controller);
         endpoints = new EndpointSource(config, controller, loop, wallMillis);
         endpoints.registerMetrics(metrics);
         try {
-            Predicate<String> known =
+            Predicate<String> acceptsFunction =
                     name ->
                             config.unknownFunction() != null
                                     || config.functions().containsKey(name);
             List<Front> fronts = new ArrayList<>();
-            webhooks =
+            webhookFront =
                     new WebhookFront(
                             config.webhookEndpoints(),
                             config.schedulerSettings().classes(),
                             config.idempotencyBounds().signatureToleranceSeconds(),
                             config.transitMicros(),
-                            known,
+                            acceptsFunction,
                             controller);
-            fronts.add(webhooks);
+            fronts.add(webhookFront);
             if (!config.kserve().tenantByKeyHash().isEmpty()) {
                 fronts.add(
                         new KserveFront(
@@ -180,19 +219,24 @@
                                 config.schedulerSettings().classes(),
                                 config.functions().keySet(),
                                 config.transitMicros(),
-                                known,
+                                acceptsFunction,
                                 controller));
             }
             router = new Router(fronts);
-            ConnectionGuard door = new ConnectionGuard(config);
+            ConnectionGuard connectionGuard = new ConnectionGuard(config);
             server =
-                    new HttpServer(loop, config.listenAddress(), config.httpLimits(), door, router);
-            metrics.registerGauge("waytrestle_body_bytes", "", door::reservedBodyBytes);
-            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waitingBodies);
+                    new HttpServer(
+                            loop,
+                            config.listenAddress(),
+                            config.httpLimits(),
+                            connectionGuard,
+                            router);
+            metrics.registerGauge("waytrestle_body_bytes", "", connectionGuard::reservedBodyBytes);
+            metrics.registerGauge("waytrestle_bodies_waiting", "", connectionGuard::waitingBodies);
             metrics.registerGauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
             admin =
                     new HttpServer(
-                            loop, config.adminAddress(), config.httpLimits(), 64, this::page);
+                            loop, config.adminAddress(), config.httpLimits(), 64, this::servePage);
             metrics.setHelp("waytrestle_body_bytes", "Bytes of request bodies held at present.");
             metrics.setHelp(
                     "waytrestle_bodies_waiting",
@@ -207,15 +251,19 @@
                     "counter",
                     "Messages or connections that never became calls.",
                     out -> {
-                        TreeMap<String, Long> all = new TreeMap<>(server.turnedAway());
-                        router.turnedAway().forEach((reason, n) -> all.merge(reason, n, Long::sum));
-                        all.forEach((reason, n) -> out.accept("reason=\"" + reason + "\"", n));
+                        TreeMap<String, Long> countByReason = new TreeMap<>(server.turnedAway());
+                        router.turnedAway()
+                                .forEach(
+                                        (reason, count) ->
+                                                countByReason.merge(reason, count, Long::sum));
+                        countByReason.forEach(
+                                (reason, count) -> out.accept("reason=\"" + reason + "\"", count));
                     });
             metrics.registerGauge("waytrestle_connections", "", server::connections);
             metrics.registerGauge("waytrestle_timers", "", loop::timerCount);
-            process();
+            registerProcessMetrics();
             if (config.gossip().listenAddress() != null) {
-                peers =
+                gossip =
                         new GossipSocket(
                                 loop,
                                 config.schedulerSettings().controllerIndex(),
@@ -226,16 +274,18 @@
         } catch (IOException | RuntimeException e) {
             loop.stop();
             loop.run();
-            if (access != null) {
-                access.close();
+            if (accessLog != null) {
+                accessLog.close();
             }
             throw e;
         }
         loop.execute(endpoints::start);
     }
 
-    /** What the process has used so far, for figures a call. */
-    private void process() {
+    /**
+     * Registers what the process has used since its start, from which usage per request follows.
+     */
+    private void registerProcessMetrics() {
         metrics.setHelp(
                 "waytrestle_process_cpu_seconds",
                 "Processor time of the whole process since its start.");
@@ -255,10 +305,10 @@
     }
 
     /**
-     * Watches the event loop from now on.
+     * Starts a watchdog of the event loop.
      *
-     * @param endProcess ends the process at once, with this exit code, when the loop is stuck for
-     *     good
+     * @param endProcess ends the process at once with the given exit code; called on the watchdog's
+     *     thread when the loop is given up as stuck
      */
     public void startWatchdog(IntConsumer endProcess) {
         LoopWatchdog.StallListener listener =
@@ -280,38 +330,42 @@
                     }
                 };
         LoopWatchdog watchdog = new LoopWatchdog(loop, listener).start();
-        loop.execute(() -> registerStalls(watchdog));
+        loop.execute(() -> registerStallMetric(watchdog));
     }
 
-    private void registerStalls(LoopWatchdog watchdog) {
+    private void registerStallMetric(LoopWatchdog watchdog) {
         metrics.setHelp(
                 "waytrestle_loop_stalls", "Times that the event loop was stuck for three seconds.");
         metrics.registerGauge("waytrestle_loop_stalls", "", watchdog::stallCount);
     }
 
-    private void page(HttpServer.Exchange e) {
-        String path = e.message().path();
-        boolean get = e.message().method().equals("GET") || e.message().method().equals("HEAD");
+    /** Responds to a request on the admin address. */
+    private void servePage(HttpServer.Exchange exchange) {
+        String path = exchange.message().path();
+        boolean get =
+                exchange.message().method().equals("GET")
+                        || exchange.message().method().equals("HEAD");
         if (!get) {
-            e.answer(
+            exchange.answer(
                     405,
                     Problem.TYPE,
                     Problem.of(405, "method", "pages are only read", true).bytes(),
                     "Allow",
                     "GET");
         } else if (path.equals("/metrics")) {
-            e.answer(200, Metrics.CONTENT_TYPE, metricsPage().getBytes(StandardCharsets.UTF_8));
+            exchange.answer(
+                    200, Metrics.CONTENT_TYPE, metricsPage().getBytes(StandardCharsets.UTF_8));
         } else if (path.equals("/health/live")) {
-            e.answer(200, "text/plain", "live\n".getBytes(StandardCharsets.US_ASCII));
+            exchange.answer(200, "text/plain", "live\n".getBytes(StandardCharsets.US_ASCII));
         } else if (path.equals("/health/ready")) {
             boolean ready = !stopping && controller.readyInvokerCount() > 0;
-            e.answer(
+            exchange.answer(
                     ready ? 200 : 503,
                     "text/plain",
                     (ready ? "ready\n" : stopping ? "stopping\n" : "no invokers\n")
                             .getBytes(StandardCharsets.US_ASCII));
         } else {
-            e.answer(
+            exchange.answer(
                     404,
                     Problem.TYPE,
                     Problem.of(404, "page", "pages: /metrics, /health/live, /health/ready", true)
@@ -323,17 +377,20 @@
         return metrics.render();
     }
 
+    /** Returns the port that clients connect to. */
     public int port() {
         return server.port();
     }
 
+    /** Returns the port of the metrics and health pages. */
     public int adminPort() {
         return admin.port();
     }
 
     /**
-     * Takes no more calls, lets open ones end within the grace, answers what is left, then ends the
-     * loop.
+     * Shuts the gateway down: accepts no further requests, lets those in flight end within the
+     * configured grace, responds to the rest, then ends the event loop. Returns at once; see {@link
+     * #join}. Further calls have no effect.
      */
     public void stop() {
         loop.execute(
@@ -345,22 +402,27 @@
                     LOG.info("gateway.stopping in_flight={}", controller.inFlight());
                     server.stopAccepting();
                     controller.startShutdown();
-                    await(
-                            Loop.nowMicros() + LINGER,
+                    awaitRequestsInFlight(
+                            Loop.nowMicros() + IDLE_LINGER_MICROS,
                             Loop.nowMicros() + config.shutdownGraceMicros());
                 });
     }
 
-    private void await(long linger, long until) {
-        boolean lingering = server.connections() > 0 && Loop.nowMicros() < linger;
-        if ((lingering || controller.inFlight() > 0) && Loop.nowMicros() < until) {
-            loop.after(LOOK, () -> await(linger, until));
+    /**
+     * Ends the loop once no request is in flight and the linger time is over, or after the grace.
+     */
+    private void awaitRequestsInFlight(long idleLingerEndMicros, long graceEndMicros) {
+        boolean lingering = server.connections() > 0 && Loop.nowMicros() < idleLingerEndMicros;
+        if ((lingering || controller.inFlight() > 0) && Loop.nowMicros() < graceEndMicros) {
+            loop.after(
+                    SHUTDOWN_CHECK_INTERVAL_MICROS,
+                    () -> awaitRequestsInFlight(idleLingerEndMicros, graceEndMicros));
             return;
         }
         server.closeIdle();
         controller.shutdownGraceExpired();
         loop.after(
-                FLUSH,
+                FLUSH_MICROS,
                 () -> {
                     LOG.info("gateway.stopped");
                     admin.stopAccepting();
@@ -370,34 +432,36 @@
     }
 
     /**
-     * Reads the files of secrets again and opens the access log by its name again. A file with a
-     * fault changes nothing, at no endpoint. Called from any thread: the files are read there and
-     * not on the loop.
+     * Reads the secrets files again and reopens the access log by its name. If any of the files has
+     * an error, nothing changes at any endpoint. Reads the files on the calling thread, since
+     * reading them on the event loop would block it.
+     *
+     * @return false if a file has an error, which is logged
      */
     public boolean reload() {
-        Map<String, List<String>> read = new HashMap<>();
-        for (GatewayConfig.WebhookEndpoint e : config.webhookEndpoints()) {
-            if (!e.secretsFile().isEmpty()) {
+        Map<String, List<String>> secretsByPath = new HashMap<>();
+        for (GatewayConfig.WebhookEndpoint endpoint : config.webhookEndpoints()) {
+            if (!endpoint.secretsFile().isEmpty()) {
                 try {
-                    read.put(e.path(), SecretsFile.read(e.secretsFile()));
-                } catch (IOException wrong) {
-                    LOG.error("secrets.rejected error=\"{}\"", wrong.getMessage());
+                    secretsByPath.put(endpoint.path(), SecretsFile.read(endpoint.secretsFile()));
+                } catch (IOException exception) {
+                    LOG.error("secrets.rejected error=\"{}\"", exception.getMessage());
                     return false;
                 }
             }
         }
         loop.execute(
                 () -> {
-                    webhooks.secrets(read);
-                    LOG.info("secrets.reloaded endpoints={}", read.size());
+                    webhookFront.secrets(secretsByPath);
+                    LOG.info("secrets.reloaded endpoints={}", secretsByPath.size());
                 });
-        if (access != null) {
-            access.reopen();
+        if (accessLog != null) {
+            accessLog.reopen();
         }
         return true;
     }
 
-    /** Drops everything at once, as a crash does. */
+    /** Closes all client connections without a response and ends the event loop, as in a crash. */
     public void kill() {
         loop.execute(
                 () -> {
@@ -407,16 +471,22 @@
                 });
     }
 
-    /** Waits for the end; the exit code is 0 after a stop, 3 after too many failed decisions. */
-    public int join(long millis) throws InterruptedException {
-        loop.join(millis);
-        if (access != null) {
-            access.close();
+    /**
+     * Waits for the event loop to end, then closes the access log.
+     *
+     * @param timeoutMillis longest wait; 0 for no limit
+     * @return the exit code of the process: 3 after too many failed decisions or an error that
+     *     ended the loop, otherwise 0
+     */
+    public int join(long timeoutMillis) throws InterruptedException {
+        loop.join(timeoutMillis);
+        if (accessLog != null) {
+            accessLog.close();
         }
-        return loop.failed() ? 3 : exit.get();
+        return loop.failed() ? 3 : exitCode.get();
     }
 
-    /** Runs a task on the gateway's loop; for tests that must act between its events. */
+    /** Runs a task on the event loop; for tests that must act between two events. */
     public void executeOnLoop(Runnable task) {
         loop.execute(task);
     }
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -22,71 +22,81 @@
 import waytrestle.scheduler.SchedulerEvent;
 
 /**
- * What a gateway's controller is made of by its configuration, and what it counts and logs of
- * itself.
+ * Creates the dependencies of a gateway's controller from the configuration, and records the
+ * controller's events as metrics and log lines.
+ *
+ * <p>Not thread-safe: used by the controller's event loop, except before that starts.
  */
 public final class GatewayControllerListener implements ControllerListener {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
     private final GatewayConfig config;
     private final Metrics metrics;
-    private final PendingRequests desk;
-    private final HealthTrackingClassifier outcomes;
-    private final ControllerDependencies parts;
+    private final PendingRequests pendingRequests;
+    private final HealthTrackingClassifier classifier;
+    private final ControllerDependencies dependencies;
 
+    /**
+     * Creates the dependencies of a controller.
+     *
+     * @param admissionControl decides which requests are admitted
+     * @param wallSeconds wall-clock time of the start, in seconds
+     */
     public GatewayControllerListener(
             GatewayConfig config,
-            Controller.SchedulerFactory maker,
-            AdmissionControl gate,
+            Controller.SchedulerFactory schedulerFactory,
+            AdmissionControl admissionControl,
             Metrics metrics,
             long wallSeconds) {
         this.config = config;
         this.metrics = metrics;
-        this.outcomes =
+        this.classifier =
                 new HealthTrackingClassifier(
                         config.classifier(),
                         config.schedulerSettings().preloading(),
                         config.schedulerSettings().loadReports(),
                         config.schedulerSettings().controllerCount());
-        this.desk =
+        this.pendingRequests =
                 new PendingRequests(
                         config.schedulerSettings().classes(),
                         config.schedulerSettings().limits().maxInFlight(),
                         config.schedulerSettings().tickMicros(),
                         new IdempotencyStore(config.idempotencyBounds(), wallSeconds),
-                        gate,
+                        admissionControl,
                         config.schedulerSettings().limits().mayCancel());
-        this.parts =
+        this.dependencies =
                 new ControllerDependencies(
                         config.schedulerSettings(),
-                        maker.create(config.schedulerSettings(), config.seed()),
-                        desk,
-                        outcomes,
-                        gate,
-                        this::configured,
+                        schedulerFactory.create(config.schedulerSettings(), config.seed()),
+                        pendingRequests,
+                        classifier,
+                        admissionControl,
+                        this::configuredHints,
                         new FailureThreshold(
                                 config.failureLimit().maxFailures(),
                                 config.failureLimit().windowMicros()));
     }
 
+    /** Returns what the controller is to be created with. */
     public ControllerDependencies dependencies() {
-        return parts;
+        return dependencies;
     }
 
-    private FunctionHints configured(String function) {
-        GatewayConfig.DeclaredFunction f =
+    /** Returns what the configuration declares of a function. */
+    private FunctionHints configuredHints(String function) {
+        GatewayConfig.DeclaredFunction declared =
                 config.functions().getOrDefault(function, config.unknownFunction());
-        return f == null
+        return declared == null
                 ? FunctionHints.NONE
                 : new FunctionHints(
-                        f.memoryMb(),
-                        f.concurrencyPerInstance(),
-                        f.loadMicros(),
-                        f.workMicros(),
+                        declared.memoryMb(),
+                        declared.concurrencyPerInstance(),
+                        declared.loadMicros(),
+                        declared.workMicros(),
                         false);
     }
 
-    /** Names what is counted, once the controller stands. */
+    /** Registers the metrics and their help texts; to be called once the controller is created. */
     public GatewayControllerListener registerMetrics(Controller controller) {
         metrics.setHelp(
                 "waytrestle_calls_total",
@@ -125,13 +135,14 @@
                 "Ids in the memory that keeps repeats from running again.");
         metrics.setHelp("waytrestle_ids_bytes", "Bytes of these ids and their remembered answers.");
         metrics.setHelp("waytrestle_invoker_connections", "Open connections to all invokers.");
-        metrics.registerGauge("waytrestle_open_calls", "", desk::inFlight);
+        metrics.registerGauge("waytrestle_open_calls", "", pendingRequests::inFlight);
         metrics.registerGauge("waytrestle_invokers_ready", "", controller::readyInvokerCount);
-        metrics.registerGauge("waytrestle_invokers_ejected", "", outcomes::ejectedInvokers);
-        metrics.registerGauge("waytrestle_functions_blamed", "", outcomes::openCircuits);
+        metrics.registerGauge("waytrestle_invokers_ejected", "", classifier::ejectedInvokers);
+        metrics.registerGauge("waytrestle_functions_blamed", "", classifier::openCircuits);
         metrics.registerGauge(
-                "waytrestle_ids_remembered", "", () -> desk.idempotencyStore().size());
-        metrics.registerGauge("waytrestle_ids_bytes", "", () -> desk.idempotencyStore().bytes());
+                "waytrestle_ids_remembered", "", () -> pendingRequests.idempotencyStore().size());
+        metrics.registerGauge(
+                "waytrestle_ids_bytes", "", () -> pendingRequests.idempotencyStore().bytes());
         metrics.registerGauge("waytrestle_invoker_connections", "", controller::openConnections);
         metrics.registerFamily(
                 "waytrestle_promises_total",
@@ -139,44 +150,45 @@
                 "Answers by which an invoker kept, broke or left untold "
                         + "what a setting promises of it.",
                 out ->
-                        outcomes.forEachCapability(
-                                (invoker, promise, untold, kept, broken) -> {
+                        classifier.forEachCapability(
+                                (invoker, capability, unreported, confirmed, refuted) -> {
                                     String labels =
                                             "invoker=\""
                                                     + invoker
                                                     + "\",promise=\""
-                                                    + promise.label()
+                                                    + capability.label()
                                                     + "\",seen=\"";
-                                    out.accept(labels + "untold\"", untold);
-                                    out.accept(labels + "kept\"", kept);
-                                    out.accept(labels + "broken\"", broken);
+                                    out.accept(labels + "untold\"", unreported);
+                                    out.accept(labels + "kept\"", confirmed);
+                                    out.accept(labels + "broken\"", refuted);
                                 }));
         return this;
     }
 
-    private String labels(IncomingRequest call, String end) {
+    private String labels(IncomingRequest request, String outcome) {
         return "class=\""
-                + config.schedulerSettings().classes().get(call.requestClass()).name()
+                + config.schedulerSettings().classes().get(request.requestClass()).name()
                 + "\",end=\""
-                + end
+                + outcome
                 + "\"";
     }
 
     @Override
-    public void requestCompleted(IncomingRequest call, String end, String reason, long micros) {
-        String labels = labels(call, end);
+    public void requestCompleted(
+            IncomingRequest request, String outcome, String reason, long elapsedMicros) {
+        String labels = labels(request, outcome);
         metrics.counter("waytrestle_calls_total", labels).increment();
-        if (end.equals("left")) {
+        if (outcome.equals("left")) {
             return;
         }
-        if (!end.equals("served")) {
+        if (!outcome.equals("served")) {
             metrics.counter("waytrestle_unserved_total", labels + ",reason=\"" + reason + "\"")
                     .increment();
         }
-        metrics.recordLatency("waytrestle_call_seconds", labels, micros);
+        metrics.recordLatency("waytrestle_call_seconds", labels, elapsedMicros);
     }
 
-    /** The code as metrics have always named it. */
+    /** Returns the label of a response code; two codes keep labels from before their renaming. */
     private static String label(ResponseCode code) {
         return switch (code) {
             case NOT_SENT -> "MOOT";
@@ -187,26 +199,27 @@
 
     @Override
     public void attemptCompleted(
-            ResponseCode code, String invoker, ExchangeResult said, long micros) {
+            ResponseCode code, String invoker, ExchangeResult result, long elapsedMicros) {
         metrics.counter("waytrestle_attempts_total", "code=\"" + label(code) + "\"").increment();
         if (code != ResponseCode.NOT_SENT) {
             metrics.counter(
                             "waytrestle_replies_total",
-                            "invoker=\"" + invoker + "\",reply=\"" + said.text() + "\"")
+                            "invoker=\"" + invoker + "\",reply=\"" + result.text() + "\"")
                     .increment();
         }
-        metrics.recordLatency("waytrestle_attempt_seconds", "code=\"" + label(code) + "\"", micros);
+        metrics.recordLatency(
+                "waytrestle_attempt_seconds", "code=\"" + label(code) + "\"", elapsedMicros);
     }
 
     @Override
     public void attemptSendDelayed(
-            IncomingRequest request, int attempt, String invoker, long micros) {
-        LOG.warn("send.delayed attempt={} invoker={} delay_us={}", attempt, invoker, micros);
+            IncomingRequest request, int attempt, String invoker, long delayMicros) {
+        LOG.warn("send.delayed attempt={} invoker={} delay_us={}", attempt, invoker, delayMicros);
     }
 
     @Override
-    public void preloadSendDelayed(String invoker, String function, long micros) {
-        LOG.warn("send.delayed preload={} invoker={} delay_us={}", function, invoker, micros);
+    public void preloadSendDelayed(String invoker, String function, long delayMicros) {
+        LOG.warn("send.delayed preload={} invoker={} delay_us={}", function, invoker, delayMicros);
     }
 
     @Override
@@ -215,9 +228,9 @@
     }
 
     @Override
-    public void invokerEjected(String invoker, long micros) {
+    public void invokerEjected(String invoker, long durationMicros) {
         metrics.counter("waytrestle_ejections_total", "").increment();
-        LOG.warn("invoker.ejected invoker={} duration_ms={}", invoker, micros / 1_000);
+        LOG.warn("invoker.ejected invoker={} duration_ms={}", invoker, durationMicros / 1_000);
     }
 
     @Override
@@ -226,13 +239,13 @@
     }
 
     @Override
-    public void capabilityWarning(ClassifierCommand.WarnOfMissingCapability a) {
+    public void capabilityWarning(ClassifierCommand.WarnOfMissingCapability warning) {
         LOG.warn(
                 "capability.{} invoker={} setting={} declared=\"{}\"",
-                a.unreported() ? "not_reported" : "refuted",
-                a.invoker(),
-                a.capability().setting(),
-                a.capability().description());
+                warning.unreported() ? "not_reported" : "refuted",
+                warning.invoker(),
+                warning.capability().setting(),
+                warning.capability().description());
     }
 
     @Override
@@ -242,14 +255,14 @@
 
     @Override
     public void decisionFailed(
-            SchedulerEvent event, Collection<SchedulerEvent> before, Throwable why) {
+            SchedulerEvent event, Collection<SchedulerEvent> recentEvents, Throwable cause) {
         LOG.error(
                 "scheduler.decision_failed seed={} settings={} event={} events_before={}",
                 config.seed(),
                 config.schedulerSettings(),
                 event,
-                List.copyOf(before),
-                why);
+                List.copyOf(recentEvents),
+                cause);
         metrics.counter("waytrestle_failed_decisions_total", "").increment();
     }
 
--- a/src/main/java/waytrestle/gateway/GossipSocket.java
+++ b/src/main/java/waytrestle/gateway/GossipSocket.java
@@ -12,71 +12,114 @@
 import waytrestle.net.Registration;
 
 /**
- * Short messages between controllers over UDP. They may be lost, and a message from an address that
- * is not a controller's is dropped. Framed ones begin with a mark and the sender's number; plain
- * ones are the message alone, told apart by their sender's address.
+ * Sends and receives gossip, short messages between controllers, over UDP. Messages may be lost. A
+ * received message is dropped if its source address is not that of a peer.
+ *
+ * <p>A framed datagram consists of a magic number, the sender's controller index (4 bytes each, big
+ * endian) and the message. An unframed datagram is the message alone; its source address identifies
+ * the sender.
+ *
+ * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class GossipSocket {
-    public static final int MAX_MESSAGE_BYTES =
-            256; // bytes of a message, as the module is promised
-    private static final int MARK = 0x77747231;
+    /** Largest message; the scheduler relies on messages of this size being sent. */
+    public static final int MAX_MESSAGE_BYTES = 256;
+
+    private static final int FRAME_MAGIC = 0x77747231;
     private static final int MAX_MESSAGES_PER_TURN = 64;
 
-    /** Pause after a failed receive: a datagram that waits stays ready, and the loop would spin. */
+    /**
+     * Pause after a failed receive. Without it the event loop would spin, since the socket stays
+     * ready while the kernel holds the datagram.
+     */
     private static final long FAILED_RECEIVE_PAUSE_MICROS = 10_000;
 
     private final Loop loop;
-    private final BiConsumer<Integer, byte[]> said;
+    private final BiConsumer<Integer, byte[]> messageListener;
     private final Registration registration;
 
-    private final int me;
+    private final int controllerIndex;
+
+    /** Addresses of the other controllers, by controller index. */
     private Map<Integer, InetSocketAddress> peers;
+
     private final DatagramChannel channel;
-    private final ByteBuffer in = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 9);
+
+    /**
+     * Room for a frame with the largest message and one byte more, which shows that it is larger.
+     */
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 9);
+
     private final boolean framed;
-    private InetSocketAddress all;
-    private long dropped;
 
+    /** Where messages to all peers are sent; null to send them to each peer. */
+    private InetSocketAddress allPeersAddress;
+
+    private long droppedMessages;
+
+    /**
+     * Opens a socket for framed datagrams.
+     *
+     * @param peers addresses of the other controllers, by controller index
+     * @param messageListener receives the sender's controller index and the message, on the event
+     *     loop
+     * @throws IOException if the socket cannot be opened or bound
+     */
     GossipSocket(
             Loop loop,
-            int me,
-            InetSocketAddress listen,
+            int controllerIndex,
+            InetSocketAddress listenAddress,
             Map<Integer, InetSocketAddress> peers,
-            BiConsumer<Integer, byte[]> said)
+            BiConsumer<Integer, byte[]> messageListener)
             throws IOException {
-        this(loop, me, listen, peers, null, true, said);
+        this(loop, controllerIndex, listenAddress, peers, null, true, messageListener);
     }
 
-    /** Plain datagrams; what is for all goes to one address, where there is one. */
+    /**
+     * Opens a socket for unframed datagrams.
+     *
+     * @param peers addresses of the other controllers, by controller index
+     * @param allPeersAddress where messages to all peers are sent; null to send them to each peer
+     * @param messageListener receives the sender's controller index and the message, on the event
+     *     loop
+     * @throws IOException if the socket cannot be opened or bound
+     */
     public static GossipSocket openUnframed(
             Loop loop,
-            int me,
-            InetSocketAddress listen,
+            int controllerIndex,
+            InetSocketAddress listenAddress,
             Map<Integer, InetSocketAddress> peers,
-            InetSocketAddress all,
-            BiConsumer<Integer, byte[]> said)
+            InetSocketAddress allPeersAddress,
+            BiConsumer<Integer, byte[]> messageListener)
             throws IOException {
-        return new GossipSocket(loop, me, listen, peers, all, false, said);
+        return new GossipSocket(
+                loop,
+                controllerIndex,
+                listenAddress,
+                peers,
+                allPeersAddress,
+                false,
+                messageListener);
     }
 
     private GossipSocket(
             Loop loop,
-            int me,
-            InetSocketAddress listen,
+            int controllerIndex,
+            InetSocketAddress listenAddress,
             Map<Integer, InetSocketAddress> peers,
-            InetSocketAddress all,
+            InetSocketAddress allPeersAddress,
             boolean framed,
-            BiConsumer<Integer, byte[]> said)
+            BiConsumer<Integer, byte[]> messageListener)
             throws IOException {
-        this.me = me;
+        this.controllerIndex = controllerIndex;
         this.peers = peers;
-        this.all = all;
+        this.allPeersAddress = allPeersAddress;
         this.framed = framed;
-        this.said = said;
+        this.messageListener = messageListener;
         this.loop = loop;
         this.channel = DatagramChannel.open();
         try {
-            channel.bind(listen);
+            channel.bind(listenAddress);
             registration = loop.register(channel, SelectionKey.OP_READ, ready -> receiveSome());
         } catch (IOException e) {
             channel.close();
@@ -87,7 +130,7 @@
     private void receiveSome() {
         try {
             for (int i = 0; i < MAX_MESSAGES_PER_TURN && receiveOne(); i++) {
-                // handed on
+                // receiveOne has delivered or dropped the message
             }
         } catch (IOException e) {
             loop.faults().count("gossip.receive", "paused", e);
@@ -98,91 +141,107 @@
         }
     }
 
-    /** Receives a message; false where none waits. */
+    /** Receives, then delivers or drops one datagram; returns false if there was none. */
     private boolean receiveOne() throws IOException {
-        in.clear();
-        SocketAddress from = channel.receive(in);
-        if (from == null) {
+        receiveBuffer.clear();
+        SocketAddress source = channel.receive(receiveBuffer);
+        if (source == null) {
             return false;
         }
-        in.flip();
+        receiveBuffer.flip();
         if (framed) {
-            deliverFramed(from);
+            deliverFramed(source);
         } else {
-            deliverUnframed(from, said);
+            deliverUnframed(source, messageListener);
         }
         return true;
     }
 
-    private void deliverFramed(SocketAddress from) {
-        if (in.remaining() < 8 || in.remaining() > MAX_MESSAGE_BYTES + 8 || in.getInt() != MARK) {
-            dropped++;
+    private void deliverFramed(SocketAddress source) {
+        if (receiveBuffer.remaining() < 8
+                || receiveBuffer.remaining() > MAX_MESSAGE_BYTES + 8
+                || receiveBuffer.getInt() != FRAME_MAGIC) {
+            droppedMessages++;
             return;
         }
-        int peer = in.getInt();
-        if (!from.equals(peers.get(peer))) {
-            dropped++;
+        int peer = receiveBuffer.getInt();
+        if (!source.equals(peers.get(peer))) {
+            droppedMessages++;
             return;
         }
-        byte[] message = new byte[in.remaining()];
-        in.get(message);
-        said.accept(peer, message);
+        byte[] message = new byte[receiveBuffer.remaining()];
+        receiveBuffer.get(message);
+        messageListener.accept(peer, message);
     }
 
-    private void deliverUnframed(SocketAddress from, BiConsumer<Integer, byte[]> said) {
-        for (Map.Entry<Integer, InetSocketAddress> each : peers.entrySet()) {
-            if (each.getValue().equals(from) && in.remaining() <= MAX_MESSAGE_BYTES) {
-                byte[] message = new byte[in.remaining()];
-                in.get(message);
-                said.accept(each.getKey(), message);
+    private void deliverUnframed(
+            SocketAddress source, BiConsumer<Integer, byte[]> messageListener) {
+        for (Map.Entry<Integer, InetSocketAddress> peer : peers.entrySet()) {
+            if (peer.getValue().equals(source) && receiveBuffer.remaining() <= MAX_MESSAGE_BYTES) {
+                byte[] message = new byte[receiveBuffer.remaining()];
+                receiveBuffer.get(message);
+                messageListener.accept(peer.getKey(), message);
                 return;
             }
         }
-        dropped++;
+        droppedMessages++;
     }
 
-    /** The others are at these addresses from now on. */
-    public void updatePeers(Map<Integer, InetSocketAddress> to, InetSocketAddress toAll) {
-        peers = to;
-        all = toAll;
+    /**
+     * Replaces the addresses of the other controllers.
+     *
+     * @param newPeers addresses by controller index
+     * @param newAllPeersAddress where messages to all peers are sent; null to send them to each
+     *     peer
+     */
+    public void updatePeers(
+            Map<Integer, InetSocketAddress> newPeers, InetSocketAddress newAllPeersAddress) {
+        peers = newPeers;
+        allPeersAddress = newAllPeersAddress;
     }
 
+    /** Returns the number of messages dropped in either direction. */
     long droppedMessages() {
-        return dropped;
+        return droppedMessages;
     }
 
-    /** Peer -1 addresses all; what the kernel does not take now is lost, as promised. */
+    /**
+     * Sends a message. It is dropped if it is longer than {@link #MAX_MESSAGE_BYTES} or the kernel
+     * does not accept it at once.
+     *
+     * @param peer index of the receiving controller; negative for all other controllers
+     */
     public void send(int peer, byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
-            dropped++;
+            droppedMessages++;
             return;
         }
-        if (peer < 0 && all != null) {
-            send(message, all);
+        if (peer < 0 && allPeersAddress != null) {
+            send(message, allPeersAddress);
             return;
         }
-        for (Map.Entry<Integer, InetSocketAddress> each : peers.entrySet()) {
-            if (peer < 0 || each.getKey() == peer) {
-                send(message, each.getValue());
+        for (Map.Entry<Integer, InetSocketAddress> entry : peers.entrySet()) {
+            if (peer < 0 || entry.getKey() == peer) {
+                send(message, entry.getValue());
             }
         }
     }
 
-    private void send(byte[] message, InetSocketAddress to) {
-        ByteBuffer out =
+    private void send(byte[] message, InetSocketAddress address) {
+        ByteBuffer datagram =
                 !framed
                         ? ByteBuffer.wrap(message)
                         : ByteBuffer.allocate(8 + message.length)
-                                .putInt(MARK)
-                                .putInt(me)
+                                .putInt(FRAME_MAGIC)
+                                .putInt(controllerIndex)
                                 .put(message)
                                 .flip();
         try {
-            if (channel.send(out, to) == 0) {
-                dropped++;
+            if (channel.send(datagram, address) == 0) {
+                droppedMessages++;
             }
         } catch (IOException e) {
-            dropped++;
+            droppedMessages++;
         }
     }
 }
--- a/src/main/java/waytrestle/gateway/HttpInvokerClient.java
+++ b/src/main/java/waytrestle/gateway/HttpInvokerClient.java
@@ -10,67 +10,79 @@
 import waytrestle.http.Withdrawal;
 import waytrestle.responses.ExchangeResult.Kind;
 
-/** What the ways to invokers over HTTP share, whatever protocol is spoken on them. */
+/**
+ * Base of the invoker clients that use HTTP: maps the results of HTTP exchanges to those of
+ * attempts and operations. Subclasses add the protocol.
+ */
 public abstract class HttpInvokerClient implements InvokerClient {
     private final HttpClient client;
 
+    /** Creates an invoker client that sends by the given HTTP client. */
     protected HttpInvokerClient(HttpClient client) {
         this.client = client;
     }
 
     /**
-     * One request and its one end: a whole message, or how it broke. Before its first byte it may
-     * still be withdrawn, for its caller's sake or the invoker's.
+     * Starts an HTTP exchange. It ends with exactly one call of either {@code onResponse} or {@code
+     * onFailure}.
+     *
+     * @param timeoutMicros time from now after which the exchange is given up
+     * @param withdrawable decides right before the first byte is sent whether the exchange is sent
+     * @param onResponse receives the complete response
+     * @param onFailure receives the result of an exchange that ended without a complete response
      */
     protected final HttpClient.Call startExchange(
-            long within,
-            Withdrawable exchange,
-            Consumer<HttpMessage> answered,
-            Consumer<Kind> broken,
+            long timeoutMicros,
+            Withdrawable withdrawable,
+            Consumer<HttpMessage> onResponse,
+            Consumer<Kind> onFailure,
             ByteBuffer... request) {
         return client.call(
-                within,
-                withdrawalOf(exchange),
+                timeoutMicros,
+                withdrawalOf(withdrawable),
                 new ResponseHandler() {
                     @Override
-                    public void responseReceived(HttpMessage m) {
-                        answered.accept(m);
+                    public void responseReceived(HttpMessage response) {
+                        onResponse.accept(response);
                     }
 
                     @Override
-                    public void exchangeFailed(ExchangeFailure how, String why) {
-                        broken.accept(of(how));
+                    public void exchangeFailed(ExchangeFailure failure, String reason) {
+                        onFailure.accept(resultOf(failure));
                     }
                 },
                 request);
     }
 
-    private static Withdrawal withdrawalOf(Withdrawable exchange) {
+    private static Withdrawal withdrawalOf(Withdrawable withdrawable) {
         return new Withdrawal() {
             @Override
             public ExchangeFailure failureIfWithdrawn() {
-                Kind how = exchange.checkBeforeSend();
-                if (how == null) {
+                Kind result = withdrawable.checkBeforeSend();
+                if (result == null) {
                     return null;
                 }
-                return how == Kind.CANCELLED ? ExchangeFailure.CANCELLED : ExchangeFailure.NO_ROOM;
+                return result == Kind.CANCELLED
+                        ? ExchangeFailure.CANCELLED
+                        : ExchangeFailure.NO_ROOM;
             }
 
             @Override
-            public void writeDelayed(long micros) {
-                exchange.sendDelayed(micros);
+            public void writeDelayed(long delayMicros) {
+                withdrawable.sendDelayed(delayMicros);
             }
         };
     }
 
     /**
-     * The line is the first byte of the request: before it the invoker cannot have run anything.
+     * Maps a failure of an HTTP exchange to a result. The invoker cannot have run the request if
+     * the exchange failed before the first byte of the request was sent.
      */
-    private static Kind of(ExchangeFailure how) {
-        return switch (how) {
+    private static Kind resultOf(ExchangeFailure failure) {
+        return switch (failure) {
             case NO_CONNECTION, BEFORE_FIRST_BYTE -> Kind.NOT_CONNECTED;
             case AFTER_FIRST_BYTE -> Kind.CONNECTION_LOST;
-            case MALFORMED -> Kind.MALFORMED; // something answered; whether it ran is unknown
+            case MALFORMED -> Kind.MALFORMED; // a response came; whether the request ran is unknown
             case TIMEOUT -> Kind.TIMEOUT;
             case CANCELLED -> Kind.CANCELLED;
             case NO_ROOM -> Kind.NO_CAPACITY;
--- a/src/main/java/waytrestle/gateway/SocketTransport.java
+++ b/src/main/java/waytrestle/gateway/SocketTransport.java
@@ -19,23 +19,27 @@
 import waytrestle.responses.ExchangeResult.Kind;
 
 /**
- * Invokers over sockets: the Open Inference Protocol on kept connections, on the controller's loop.
+ * A transport whose invoker clients speak the Open Inference Protocol over keep-alive connections.
+ *
+ * <p>Not thread-safe: used by the controller's event loop.
  */
 final class SocketTransport extends EventLoopTransport {
     private final GatewayConfig config;
-    private final HttpLimits bounds;
-    private final FairByteLimit held;
+    private final HttpLimits responseLimits;
+
+    /** Limits the responses that are being received, over all invokers. */
+    private final FairByteLimit responseBytes;
 
     SocketTransport(Loop loop, GatewayConfig config) {
         super(loop);
         this.config = config;
-        this.held = new FairByteLimit(config.invokerConnections().maxTotalResponseBytes());
-        HttpLimits d = HttpLimits.DEFAULT;
-        this.bounds =
+        this.responseBytes = new FairByteLimit(config.invokerConnections().maxTotalResponseBytes());
+        HttpLimits defaults = HttpLimits.DEFAULT;
+        this.responseLimits =
                 new HttpLimits(
-                        d.startLineBytes(),
-                        d.headerCount(),
-                        d.headerBytes(),
+                        defaults.startLineBytes(),
+                        defaults.headerCount(),
+                        defaults.headerBytes(),
                         config.invokerConnections().maxResponseBytes(),
                         0,
                         0,
@@ -44,119 +48,145 @@
     }
 
     @Override
-    public InvokerClient openClient(String invoker, Runnable lost) {
-        return new Link(invoker, lost);
+    public InvokerClient openClient(String invoker, Runnable connectionsLostListener) {
+        return new SocketInvokerClient(invoker, connectionsLostListener);
     }
 
-    private final class Link extends HttpInvokerClient {
+    /** The client of one invoker. */
+    private final class SocketInvokerClient extends HttpInvokerClient {
         private final InferProtocol protocol;
 
-        private Link(String id, Runnable lost) {
+        private SocketInvokerClient(String invokerId, Runnable connectionsLostListener) {
             super(
                     new HttpClient(
                                     loop,
-                                    GatewayConfig.parseAddress(id),
-                                    bounds,
+                                    GatewayConfig.parseAddress(invokerId),
+                                    responseLimits,
                                     config.invokerConnections().maxConnections(),
                                     config.schedulerSettings().limits().connectTimeoutMicros(),
                                     config.invokerConnections().idleCloseMicros(),
-                                    held)
-                            .withPeerEndListener(lost));
-            protocol = new InferProtocol(id, config.schedulerSettings().controllerIndex());
+                                    responseBytes)
+                            .withPeerEndListener(connectionsLostListener));
+            protocol = new InferProtocol(invokerId, config.schedulerSettings().controllerIndex());
         }
 
         @Override
         public Runnable sendAttempt(
-                IncomingRequest in, String id, int attempt, long within, AttemptListener ended) {
+                IncomingRequest incoming,
+                String id,
+                int attempt,
+                long timeoutMicros,
+                AttemptListener listener) {
             ByteBuffer[] request =
-                    in.jsonBytes() >= 0
+                    incoming.jsonBytes() >= 0
                             ? protocol.passed(
-                                    in.function(), id, attempt, in.payload(), in.jsonBytes())
+                                    incoming.function(),
+                                    id,
+                                    attempt,
+                                    incoming.payload(),
+                                    incoming.jsonBytes())
                             : protocol.infer(
-                                    in.function(), id, attempt, in.contentType(), in.payload());
+                                    incoming.function(),
+                                    id,
+                                    attempt,
+                                    incoming.contentType(),
+                                    incoming.payload());
             HttpClient.Call exchange =
                     startExchange(
-                            within,
-                            ended,
-                            m -> {
+                            timeoutMicros,
+                            listener,
+                            response -> {
                                 Served served =
-                                        m.status() != 200
+                                        response.status() != 200
                                                 ? null
-                                                : in.jsonBytes() >= 0
-                                                        ? InferProtocol.whole(m)
-                                                        : InferProtocol.answer(m, id);
-                                String type = m.header("content-type");
-                                ended.completed(
+                                                : incoming.jsonBytes() >= 0
+                                                        ? InferProtocol.whole(response)
+                                                        : InferProtocol.answer(response, id);
+                                String type = response.header("content-type");
+                                listener.completed(
                                         new AttemptResult(
-                                                m.status() != 200
+                                                response.status() != 200
                                                         ? new ExchangeResult(
-                                                                Kind.STATUS, m.status())
+                                                                Kind.STATUS, response.status())
                                                         : ExchangeResult.of(
                                                                 served == null
                                                                         ? Kind.MALFORMED
                                                                         : Kind.RESPONSE),
                                                 served,
                                                 type == null ? "application/octet-stream" : type,
-                                                m.content(),
-                                                metrics(m)));
+                                                response.content(),
+                                                loadMetrics(response)));
                             },
-                            how -> ended.completed(AttemptResult.of(how)),
+                            failure -> listener.completed(AttemptResult.of(failure)),
                             request);
             return exchange::cancel;
         }
 
-        private LoadMetrics metrics(HttpMessage m) {
-            return LoadMetrics.read(m.header(LoadMetrics.HEADER));
+        private LoadMetrics loadMetrics(HttpMessage response) {
+            return LoadMetrics.read(response.header(LoadMetrics.HEADER));
         }
 
-        private interface Copies {
-            int of(HttpMessage m);
+        /** Reads the number of loaded instances of a function from a successful response. */
+        private interface InstanceCountReader {
+            int read(HttpMessage response);
         }
 
-        private void ask(
-                long within, Copies copies, OperationListener told, ByteBuffer... request) {
+        private void startOperation(
+                long timeoutMicros,
+                InstanceCountReader instanceCount,
+                OperationListener listener,
+                ByteBuffer... request) {
             startExchange(
-                    within,
-                    told,
-                    m -> {
-                        boolean ok = m.status() == 200;
-                        told.completed(
+                    timeoutMicros,
+                    listener,
+                    response -> {
+                        boolean ok = response.status() == 200;
+                        listener.completed(
                                 ok
                                         ? ExchangeResult.of(Kind.RESPONSE)
-                                        : new ExchangeResult(Kind.STATUS, m.status()),
-                                ok ? copies.of(m) : 0,
-                                metrics(m));
+                                        : new ExchangeResult(Kind.STATUS, response.status()),
+                                ok ? instanceCount.read(response) : 0,
+                                loadMetrics(response));
                     },
-                    how -> told.completed(ExchangeResult.of(how), 0, LoadMetrics.NONE),
+                    failure -> listener.completed(ExchangeResult.of(failure), 0, LoadMetrics.NONE),
                     request);
         }
 
         @Override
-        public void preload(String function, int copies, long within, OperationListener told) {
-            if (copies == 0) {
-                ask(within, m -> InferProtocol.copies(m, function), told, protocol.index());
+        public void preload(
+                String function, int instances, long timeoutMicros, OperationListener listener) {
+            if (instances == 0) {
+                startOperation(
+                        timeoutMicros,
+                        response -> InferProtocol.copies(response, function),
+                        listener,
+                        protocol.index());
                 return;
             }
-            ask(
-                    within,
-                    m -> {
-                        int standing = metrics(m).copies();
-                        return standing < 0
-                                ? copies
-                                : standing; // a load answered with success stands
+            startOperation(
+                    timeoutMicros,
+                    response -> {
+                        int reported = loadMetrics(response).copies();
+                        return reported < 0
+                                ? instances
+                                : reported; // without a report, success means that all are loaded
                     },
-                    told,
-                    protocol.load(function, copies));
+                    listener,
+                    protocol.load(function, instances));
         }
 
         @Override
-        public void unload(String function, long within) {
-            ask(within, m -> 0, (reply, copies, told) -> {}, protocol.unload(function));
+        public void unload(String function, long timeoutMicros) {
+            startOperation(
+                    timeoutMicros,
+                    response -> 0,
+                    (result, instances, metrics) -> {},
+                    protocol.unload(function));
         }
 
         @Override
-        public void checkHealth(long within, OperationListener told) {
-            ask(within, m -> 0, told, protocol.ready());
+        public void checkHealth(long timeoutMicros, OperationListener listener) {
+            startOperation(timeoutMicros, response -> 0, listener, protocol.ready());
         }
     }
 }
--- a/src/main/java/waytrestle/gateway/package-info.java
+++ b/src/main/java/waytrestle/gateway/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The gateway that {@code serve} runs: a controller over sockets with its front ends, its invokers
- * by the Open Inference Protocol, its endpoint list and its pages.
+ * The gateway process that the {@code serve} command runs: a controller whose transport is sockets,
+ * with its front ends, its clients for invokers by the Open Inference Protocol, its source of the
+ * endpoint list, its gossip and its metrics and health pages.
  */
 package waytrestle.gateway;
