--- a/src/main/java/waytrestle/emulator/Emulation.java
+++ b/src/main/java/waytrestle/emulator/Emulation.java
@@ -23,7 +23,7 @@
 import waytrestle.controller.ControllerEnvironment;
 import waytrestle.discovery.EndpointDirectory;
 import waytrestle.discovery.PollFreshness;
-import waytrestle.front.Fronts;
+import waytrestle.front.FrontEnds;
 import waytrestle.gateway.GatewayControllerListener;
 import waytrestle.http.ExchangeFailure;
 import waytrestle.metrics.Metrics;
@@ -611,15 +611,18 @@
                                                                     over,
                                                                     () ->
                                                                             handler.answered(
-                                                                                    Fronts.status(
-                                                                                            e),
-                                                                                    Fronts.status(e)
+                                                                                    FrontEnds
+                                                                                            .httpStatus(
+                                                                                                    e),
+                                                                                    FrontEnds
+                                                                                                            .httpStatus(
+                                                                                                                    e)
                                                                                                     != 200
-                                                                                            && Fronts
-                                                                                                    .harmless(
+                                                                                            && FrontEnds
+                                                                                                    .isRetryHarmless(
                                                                                                             e),
-                                                                                    Fronts
-                                                                                            .comeBackMillis(
+                                                                                    FrontEnds
+                                                                                            .retryAfterMillis(
                                                                                                     e))));
                                         });
                     });
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -23,10 +23,10 @@
 import waytrestle.config.SecretsFile;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerEnvironment;
-import waytrestle.front.Front;
+import waytrestle.front.FrontEnd;
 import waytrestle.front.Router;
-import waytrestle.front.kserve.KserveFront;
-import waytrestle.front.webhook.WebhookFront;
+import waytrestle.front.kserve.KserveFrontEnd;
+import waytrestle.front.webhook.WebhookFrontEnd;
 import waytrestle.http.HttpServer;
 import waytrestle.http.Problem;
 import waytrestle.metrics.Metrics;
@@ -51,7 +51,7 @@
     private final AtomicInteger exit = new AtomicInteger();
     private Controller controller;
     private Router router;
-    private WebhookFront webhooks;
+    private WebhookFrontEnd webhooks;
     private FileAccessLog access;
     private HttpServer server, admin;
     private EndpointSource endpoints;
@@ -163,9 +163,9 @@
                     name ->
                             config.unknownFunction() != null
                                     || config.functions().containsKey(name);
-            List<Front> fronts = new ArrayList<>();
+            List<FrontEnd> fronts = new ArrayList<>();
             webhooks =
-                    new WebhookFront(
+                    new WebhookFrontEnd(
                             config.endpoints(),
                             config.module().classes(),
                             config.ids().signatureToleranceSeconds(),
@@ -175,7 +175,7 @@
             fronts.add(webhooks);
             if (!config.kserve().tenantByKey().isEmpty()) {
                 fronts.add(
-                        new KserveFront(
+                        new KserveFrontEnd(
                                 config.kserve(),
                                 config.module().classes(),
                                 config.functions().keySet(),
@@ -205,7 +205,8 @@
                     "Messages or connections that never became calls.",
                     out -> {
                         TreeMap<String, Long> all = new TreeMap<>(server.turnedAway());
-                        router.turnedAway().forEach((reason, n) -> all.merge(reason, n, Long::sum));
+                        router.rejectedMessagesByReason()
+                                .forEach((reason, n) -> all.merge(reason, n, Long::sum));
                         all.forEach((reason, n) -> out.accept("reason=\"" + reason + "\"", n));
                     });
             metrics.registerGauge("waytrestle_connections", "", server::connections);
@@ -383,7 +384,7 @@
         }
         loop.execute(
                 () -> {
-                    webhooks.secrets(read);
+                    webhooks.replaceSecrets(read);
                     LOG.info("secrets.reloaded endpoints={}", read.size());
                 });
         if (access != null) {
