--- a/src/main/java/waytrestle/discovery/ConsulHealthReader.java
+++ b/src/main/java/waytrestle/discovery/ConsulHealthReader.java
@@ -16,28 +16,34 @@
  * Reads the response body of Consul's health API, {@code GET /v1/health/service/NAME}.
  *
  * <p>An endpoint's zone, cell and kind are in its service's {@code Meta}, its weight in {@code
- * Weights}, its start in {@code Meta.started_ms} as Unix time. An endpoint in maintenance or with a
- * critical check is draining.
+ * Weights}, the start of its process in {@code Meta.started_ms} as Unix time in milliseconds. An
+ * endpoint with a critical check is draining; Consul adds such a check to a service in maintenance.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class ConsulHealthReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Consul's default for a service registered without weights. */
+    /** Consul's default weight of a service that is registered without weights. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private final List<String> zones;
     private final List<String> kinds;
     private final StartTimes startTimes;
 
+    /**
+     * Creates a reader.
+     *
+     * @param zones names of the configured zones, by index
+     * @param kinds names of the configured kinds of invoker, by index
+     */
     ConsulHealthReader(List<String> zones, List<String> kinds, StartTimes startTimes) {
         this.zones = zones;
         this.kinds = kinds;
         this.startTimes = startTimes;
     }
 
-    /** The endpoints listed; empty where the body is no list at all. */
+    /** Returns the endpoints that the body lists; empty if the body is not a JSON array. */
     Optional<List<RegisteredEndpoint>> read(byte[] body) {
         JsonNode root;
         try {
@@ -55,7 +61,10 @@
         return Optional.of(endpoints);
     }
 
-    /** Leaves out an entry whose address is not numeric: it would need a name look-up. */
+    /**
+     * Reads an entry of the list. Returns empty if the entry's address is not an IP address with a
+     * port: a host name would need a look-up, which blocks.
+     */
     private Optional<RegisteredEndpoint> readEntry(JsonNode entry) {
         return address(entry).map(address -> readEntry(entry, SocketAddresses.format(address)));
     }
@@ -76,7 +85,10 @@
         return new RegisteredEndpoint(endpoint, createIndex(entry));
     }
 
-    /** The service's own address, or that of the machine it is registered on. */
+    /**
+     * Returns the service's own address or, if it has none, the address of the node that it is
+     * registered on; empty if neither is an IP address with a port.
+     */
     private static Optional<InetSocketAddress> address(JsonNode entry) {
         JsonNode service = entry.path("Service");
         String host = service.path("Address").asText("");
@@ -96,11 +108,14 @@
     }
 
     private static long createIndex(JsonNode entry) {
-        long ofEntry = entry.path("CreateIndex").asLong(0);
-        return entry.path("Service").path("CreateIndex").asLong(ofEntry);
+        long entryIndex = entry.path("CreateIndex").asLong(0);
+        return entry.path("Service").path("CreateIndex").asLong(entryIndex);
     }
 
-    /** An unknown zone or kind counts as the first configured: the endpoint stays usable. */
+    /**
+     * Returns the index of a zone or kind, or 0 if the name is not configured, so that the endpoint
+     * stays usable.
+     */
     private static int indexOrFirst(List<String> names, String name) {
         return Math.max(0, names.indexOf(name));
     }
--- a/src/main/java/waytrestle/discovery/ConsulPoller.java
+++ b/src/main/java/waytrestle/discovery/ConsulPoller.java
@@ -26,44 +26,57 @@
 import waytrestle.net.TimerHeap;
 
 /**
- * Polls a Consul-compatible health API for an {@link EndpointDirectory}: with blocking queries one
- * after the other while subscribed, and with a single plain query on {@link #fetch}.
+ * Polls a Consul-compatible health API for an {@link EndpointDirectory}: while subscribed, with one
+ * blocking query after the other; on {@link #fetch}, with a single query that is answered at once.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class ConsulPoller {
     /**
-     * Beyond the agreed wait, to which the health API may add a sixteenth. Without it, a blocking
-     * query that returns late would count as failed.
+     * Microseconds that the response to a blocking query may take beyond {@link
+     * Settings#waitMicros}. The health API may add a sixteenth to the wait; without the slack, a
+     * query answered after that would count as failed.
      */
     public static final long RESPONSE_SLACK_MICROS = 2_000_000;
 
-    /** Some 20,000 endpoints; a longer response counts as failed and cannot exhaust the memory. */
+    /**
+     * Enough for some 20,000 endpoints. A poll with a longer response counts as failed, so that a
+     * response cannot exhaust the memory.
+     */
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
-    /** A blocking query and some fetches beside it. */
+    /** Enough for the blocking query and a few concurrent fetches. */
     private static final int MAX_CONNECTIONS = 4;
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final int STATUS_OK = 200;
+
+    /** Index of a query that is answered at once. */
     private static final long NO_INDEX = 0;
+
     private static final String INDEX_HEADER = "x-consul-index";
 
-    /** {@code false} on a list that a server without a leader has kept, of whatever age. */
+    /**
+     * Header that is {@code false} if the health API's server has no leader: its list may then be
+     * of any age.
+     */
     private static final String KNOWN_LEADER_HEADER = "x-consul-knownleader";
 
-    /** At most 18 digits always fit a long. */
-    private static final Pattern INDEX = Pattern.compile("\\d{1,18}");
+    /** An index; up to 18 digits always fit a {@code long}. */
+    private static final Pattern INDEX_PATTERN = Pattern.compile("\\d{1,18}");
 
     /**
      * Where and how to poll.
      *
-     * @param address of the health API
-     * @param service the name under which invokers are registered
-     * @param waitMicros how long the health API may hold back the response to a blocking query
-     * @param controllerIndex sent along, so that the health API can tell controllers apart
-     * @param zones the configured zones, by index
-     * @param kinds the configured kinds of invoker, by index
+     * @param address address of the health API
+     * @param service name under which invokers are registered with the health API
+     * @param waitMicros how long the health API may hold back the response to a blocking query, in
+     *     microseconds
+     * @param connectTimeoutMicros how long connecting to the health API may take, in microseconds
+     * @param controllerIndex index of the controller that polls, sent with each query so that the
+     *     health API can tell controllers apart
+     * @param zones names of the configured zones, by index
+     * @param kinds names of the configured kinds of invoker, by index
      */
     public record Settings(
             InetSocketAddress address,
@@ -84,11 +97,12 @@
     private TimerHeap.Timer nextPoll;
 
     /**
-     * Does not poll yet.
+     * Creates a poller that does not poll yet.
      *
-     * @param publisher receives the directory's commands other than {@link Poll}, which are carried
-     *     out here
-     * @param unixMillis the wall clock, to translate reported start times
+     * @param directory decides what each response means and when to poll next
+     * @param publisher receives the directory's commands except {@link Poll}, which the poller
+     *     carries out itself
+     * @param unixMillis wall clock in Unix milliseconds, to translate reported start times
      */
     public ConsulPoller(
             Loop loop,
@@ -113,7 +127,10 @@
                         new FairByteLimit(Long.MAX_VALUE));
     }
 
-    /** The time limits are those of a server; a client has one for the whole exchange. */
+    /**
+     * Returns the limits on responses. The time limits in {@link HttpLimits} apply to servers only
+     * and are 0 here: a client limits the time of each whole exchange instead.
+     */
     private static HttpLimits responseLimits() {
         HttpLimits defaults = HttpLimits.DEFAULT;
         return new HttpLimits(
@@ -127,7 +144,7 @@
                 0);
     }
 
-    /** Starts or stops the blocking queries. */
+    /** Starts or stops the blocking queries; does nothing if they already are in that state. */
     public void setSubscribed(boolean enabled) {
         if (enabled == subscribed) {
             return;
@@ -140,12 +157,15 @@
         }
     }
 
-    /** Polls once without blocking, whether or not there is a subscription. */
+    /** Sends one query that is answered at once, whether or not the poller is subscribed. */
     public void fetch() {
         send(NO_INDEX, event -> directory.handle(Loop.nowMicros(), event, this::publishUnlessPoll));
     }
 
-    /** Reads what has come meanwhile, where the event loop has been busy elsewhere for long. */
+    /**
+     * Reads the responses that have already arrived, if the event loop was too busy to look at its
+     * connections for long.
+     */
     public void pollIfBehind() {
         client.pollIfBehind();
     }
@@ -192,11 +212,11 @@
     }
 
     private String target(long index) {
-        String plain = "/v1/health/service/" + settings.service();
+        String path = "/v1/health/service/" + settings.service();
         if (index == NO_INDEX) {
-            return plain;
+            return path;
         }
-        return plain
+        return path
                 + "?index="
                 + index
                 + "&wait="
@@ -206,23 +226,27 @@
 
     private Event readResponse(HttpMessage response) {
         String index = response.header(INDEX_HEADER);
-        boolean indexed = index != null && INDEX.matcher(index).matches();
+        boolean hasIndex = index != null && INDEX_PATTERN.matcher(index).matches();
         boolean leaderless = "false".equalsIgnoreCase(response.header(KNOWN_LEADER_HEADER));
-        if (response.status() != STATUS_OK || !indexed || leaderless) {
+        if (response.status() != STATUS_OK || !hasIndex || leaderless) {
             return failed();
         }
         Optional<List<RegisteredEndpoint>> entries = reader.read(response.body());
         return entries.isEmpty()
                 ? failed()
-                : new SnapshotReceived(Long.parseLong(index), entries.get(), earliestMicros());
+                : new SnapshotReceived(
+                        Long.parseLong(index), entries.get(), earliestOccurrenceMicros());
     }
 
     private Event failed() {
-        return new PollFailed(earliestMicros());
+        return new PollFailed(earliestOccurrenceMicros());
     }
 
-    /** The earliest time at which what is found now can have happened. */
-    private long earliestMicros() {
+    /**
+     * Returns the earliest time at which a response or failure that is seen only now can have
+     * occurred, in microseconds on the event loop's clock.
+     */
+    private long earliestOccurrenceMicros() {
         return Loop.nowMicros() - loop.unseenMicros();
     }
 }
--- a/src/main/java/waytrestle/discovery/EndpointDirectory.java
+++ b/src/main/java/waytrestle/discovery/EndpointDirectory.java
@@ -11,46 +11,55 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
 /**
- * The invokers that service discovery lists, kept up to date from the results of polls: a result
- * comes in as an {@link Event}, what to do about it goes out as {@link Command}s. Free of I/O,
- * clocks and threads. Not thread-safe: used by the controller's event loop.
+ * Keeps the list of endpoints that service discovery reports. It takes the result of each poll as
+ * an {@link Event} and passes on what to do next as {@link Command}s. Free of I/O, clocks and
+ * threads. Not thread-safe: used by the controller's event loop. Times are in microseconds on the
+ * scheduler's clock.
  *
- * <p>Faults of the health API are met as follows:
+ * <p>Faults of the health API are handled as follows:
  *
  * <ul>
- *   <li>While it lags, the last snapshot stays in force.
- *   <li>When a poll fails, the last snapshot stays in force too, for as long as {@link
- *       PollFreshness} allows, and the next poll comes after an exponential backoff with jitter, so
- *       that controllers do not return all together.
- *   <li>When a response lay unread, since this process did not run, the next poll is answered at
- *       once and tells what has changed since.
- *   <li>A snapshot that shrinks, even to nothing, takes effect at once: an endpoint that is gone
- *       must receive nothing new, and a request without invokers is rejected, which harms nobody.
- *   <li>When it restarts, so that its index goes back, it is polled from index 0 again.
+ *   <li>While the health API lags, the last snapshot stays in use.
+ *   <li>When a poll fails, the last snapshot stays in use for as long as {@link PollFreshness}
+ *       allows, and the next poll follows after an exponential backoff with jitter, so that
+ *       controllers whose polls failed together do not poll together again.
+ *   <li>When a response lay unread because this process did not run, the next poll has index 0, is
+ *       answered at once and reports the changes since that response.
+ *   <li>A snapshot with fewer endpoints, even with none, takes effect at once: an endpoint that is
+ *       gone must receive no new attempts, and rejecting requests for lack of invokers is harmless.
+ *   <li>When the health API's index goes back, because the health API has restarted, the next poll
+ *       has index 0.
  * </ul>
  */
 public final class EndpointDirectory {
     /**
-     * Half of a backoff is random: enough to spread the polls of controllers that failed at once.
+     * Share of a backoff that is not random. The random half is enough to spread the polls of
+     * controllers whose polls failed together.
      */
     private static final double BACKOFF_FIXED_SHARE = 0.5;
 
-    /** More could overflow; these reach the longest backoff of any usual setting. */
+    /**
+     * Enough doublings to reach the longest backoff of any usual setting; more could overflow a
+     * {@code long}.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 16;
 
     /**
-     * A response that lay unread for longer tells what held then. It is small beside any drain
-     * grace, and longer than the pauses of a loaded process.
+     * A response that lay unread for longer shows the list of an earlier time. The limit is small
+     * compared with any drain grace and longer than the pauses of a loaded process.
      */
-    private static final long LATE_MICROS = 100_000;
+    private static final long MAX_UNREAD_MICROS = 100_000;
 
+    /** Stands for the time of the last snapshot before there is one. */
     private static final long NEVER = 0;
+
     private static final long AGE_BEFORE_FIRST_SNAPSHOT = -1;
 
     /**
      * An endpoint as the health API lists it.
      *
-     * @param createIndex changes when the endpoint is registered anew
+     * @param createIndex the health API's index of the registration; changes when the endpoint is
+     *     registered again
      */
     public record RegisteredEndpoint(InvokerEndpoint endpoint, long createIndex) {}
 
@@ -58,9 +67,12 @@
     public sealed interface Event {}
 
     /**
-     * A poll returned the complete list of endpoints, as of the health API's index.
+     * A poll returned the complete list of endpoints.
      *
-     * @param earliestArrivalMicros the earliest time at which the response can have arrived
+     * @param index the health API's index at which the list was valid
+     * @param entries the complete list of endpoints
+     * @param earliestArrivalMicros earliest time at which the response can have arrived; earlier
+     *     than now if the response may have lain unread
      */
     public record SnapshotReceived(
             long index, List<RegisteredEndpoint> entries, long earliestArrivalMicros)
@@ -69,29 +81,37 @@
     /**
      * A poll returned no list of endpoints.
      *
-     * @param earliestFailureMicros the earliest time at which it can have failed
+     * @param earliestFailureMicros earliest time at which the poll can have failed
      */
     public record PollFailed(long earliestFailureMicros) implements Event {}
 
     /** What is to be done after an event. */
     public sealed interface Command {}
 
-    /** Hand the update to the scheduler. */
+    /** Pass the update to the scheduler. */
     public record PublishUpdate(EndpointsUpdated update) implements Command {}
 
-    /** Tell the scheduler that the poll it asked for failed. */
+    /** Tell the scheduler that the poll it requested failed. */
     public record PublishFailure() implements Command {}
 
     /**
-     * Tell the scheduler by when the list counts as outdated, at each change.
+     * Tell the scheduler when the endpoint list counts as last received. Sent only when one of the
+     * values has changed.
      *
      * @param current whether the last poll was answered in time
-     * @param receivedAtMicros from when on all that the health API holds counts as received here,
-     *     if no further poll is answered; {@link PollFreshness#UNLIMITED} where that is not limited
+     * @param receivedAtMicros when the endpoint list counts as last received unless a further poll
+     *     is answered; may lie ahead; {@link PollFreshness#UNLIMITED} if the list does not become
+     *     outdated
      */
     public record PublishFreshness(boolean current, long receivedAtMicros) implements Command {}
 
-    /** Poll after the delay, blocking until the index changes; index 0 is answered at once. */
+    /**
+     * Send the next poll.
+     *
+     * @param index the response is held back until the health API's index differs from this one; a
+     *     poll with index 0 is answered at once
+     * @param delayMicros how long to wait before the poll is sent
+     */
     public record Poll(long index, long delayMicros) implements Command {}
 
     private final long minBackoffMicros;
@@ -104,14 +124,18 @@
     private long index;
     private long lastSnapshotAtMicros = NEVER;
     private int consecutiveFailures;
-    private PublishFreshness published;
+    private PublishFreshness lastPublishedFreshness;
 
     /**
-     * Starts with no endpoints.
+     * Creates a directory without endpoints.
      *
-     * @param publishesFailures whether the scheduler polls by itself and so has to know of failures
-     * @param seed of the backoff's jitter
-     * @param limits for how long the list may be acted on without an answered poll
+     * @param minBackoffMicros longest delay of the next poll after the first failure, and its delay
+     *     when the health API's index has gone back or is not positive
+     * @param maxBackoffMicros longest delay of the next poll after any number of failures
+     * @param publishesFailures whether a failed poll results in {@link PublishFailure}: the
+     *     scheduler must know of failures if it requests the polls itself
+     * @param seed random seed of the backoff's jitter
+     * @param limits how long the list may be used without an answered poll
      */
     public EndpointDirectory(
             long minBackoffMicros,
@@ -126,12 +150,12 @@
         this.freshness = new PollFreshness(limits);
     }
 
-    /** The number of endpoints in the last snapshot. */
+    /** Returns the number of endpoints in the last snapshot; 0 before the first. */
     public int size() {
         return endpoints.size();
     }
 
-    /** Microseconds since the last snapshot; -1 before the first. */
+    /** Returns the microseconds since the last snapshot; -1 before the first. */
     public long ageMicros(long nowMicros) {
         if (lastSnapshotAtMicros == NEVER) {
             return AGE_BEFORE_FIRST_SNAPSHOT;
@@ -139,7 +163,7 @@
         return nowMicros - lastSnapshotAtMicros;
     }
 
-    /** Takes in the result of a poll and passes on what to do about it, in order. */
+    /** Handles the result of a poll and passes the commands on, in the order to run them in. */
     public void handle(long nowMicros, Event event, Consumer<Command> commands) {
         if (event instanceof SnapshotReceived snapshot) {
             snapshotReceived(nowMicros, snapshot, commands);
@@ -161,9 +185,9 @@
     private long nextBackoffMicros() {
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures);
         consecutiveFailures++;
-        long longest = Math.min(maxBackoffMicros, minBackoffMicros << doublings);
+        long longestMicros = Math.min(maxBackoffMicros, minBackoffMicros << doublings);
         double randomShare = (1 - BACKOFF_FIXED_SHARE) * random.nextDouble();
-        return (long) (longest * (BACKOFF_FIXED_SHARE + randomShare));
+        return (long) (longestMicros * (BACKOFF_FIXED_SHARE + randomShare));
     }
 
     private void snapshotReceived(
@@ -171,8 +195,8 @@
         lastSnapshotAtMicros = nowMicros;
         consecutiveFailures = 0;
         Map<String, RegisteredEndpoint> received = new LinkedHashMap<>();
-        for (RegisteredEndpoint each : snapshot.entries()) {
-            received.put(each.endpoint().id(), withKnownStart(nowMicros, each));
+        for (RegisteredEndpoint entry : snapshot.entries()) {
+            received.put(entry.endpoint().id(), withKnownStart(nowMicros, entry));
         }
         List<InvokerEndpoint> changes = changes(received);
         endpoints = received;
@@ -181,7 +205,7 @@
             commands.accept(new PublishUpdate(update));
         }
         awaitingFirstSnapshot = false;
-        boolean late = nowMicros - snapshot.earliestArrivalMicros() > LATE_MICROS;
+        boolean late = nowMicros - snapshot.earliestArrivalMicros() > MAX_UNREAD_MICROS;
         if (late) {
             freshness.queryFailed(snapshot.earliestArrivalMicros());
         } else {
@@ -189,7 +213,7 @@
         }
         publishFreshness(commands);
         if (late) {
-            // What has changed since the response came is asked for at once.
+            // The changes since the response arrived are polled for at once.
             commands.accept(new Poll(0, 0));
         } else {
             pollAfter(snapshot, commands);
@@ -197,42 +221,43 @@
     }
 
     private void publishFreshness(Consumer<Command> commands) {
-        PublishFreshness now =
+        PublishFreshness latest =
                 new PublishFreshness(freshness.isCurrent(), freshness.receivedAtMicros());
-        if (!now.equals(published)) {
-            published = now;
-            commands.accept(now);
+        if (!latest.equals(lastPublishedFreshness)) {
+            lastPublishedFreshness = latest;
+            commands.accept(latest);
         }
     }
 
     private void pollAfter(SnapshotReceived snapshot, Consumer<Command> commands) {
         boolean restarted = snapshot.index() < index;
         index = restarted ? 0 : snapshot.index();
-        // Without an index to wait for, the health API answers at once: polling must not spin.
+        // Index 0 is answered at once: without a delay, polls would follow each other endlessly.
         boolean answersAtOnce = restarted || snapshot.index() <= 0;
         commands.accept(new Poll(index, answersAtOnce ? minBackoffMicros : 0));
     }
 
     /**
-     * The endpoints that are new or different in the received snapshot, then those gone from it.
+     * Returns the endpoints that are new or different in the received snapshot, followed by those
+     * that are missing from it, with the state {@link EndpointState#GONE}.
      */
     private List<InvokerEndpoint> changes(Map<String, RegisteredEndpoint> received) {
         List<InvokerEndpoint> changes = new ArrayList<>();
-        for (RegisteredEndpoint each : received.values()) {
-            RegisteredEndpoint previous = endpoints.get(each.endpoint().id());
-            if (previous == null || !previous.endpoint().equals(each.endpoint())) {
-                changes.add(each.endpoint());
+        for (RegisteredEndpoint current : received.values()) {
+            RegisteredEndpoint previous = endpoints.get(current.endpoint().id());
+            if (previous == null || !previous.endpoint().equals(current.endpoint())) {
+                changes.add(current.endpoint());
             }
         }
-        for (RegisteredEndpoint each : endpoints.values()) {
-            if (!received.containsKey(each.endpoint().id())) {
-                changes.add(gone(each.endpoint()));
+        for (RegisteredEndpoint previous : endpoints.values()) {
+            if (!received.containsKey(previous.endpoint().id())) {
+                changes.add(asGone(previous.endpoint()));
             }
         }
         return changes;
     }
 
-    private static InvokerEndpoint gone(InvokerEndpoint endpoint) {
+    private static InvokerEndpoint asGone(InvokerEndpoint endpoint) {
         return new InvokerEndpoint(
                 endpoint.id(),
                 endpoint.zone(),
@@ -244,7 +269,9 @@
     }
 
     /**
-     * Where no start is reported, an endpoint registered anew is taken to have started just now.
+     * Returns the received endpoint with a start time. If the health API reports none, an endpoint
+     * that was registered again since the last snapshot counts as started now, and any other known
+     * endpoint keeps the start time it has. An endpoint that was unknown is returned unchanged.
      */
     private RegisteredEndpoint withKnownStart(long nowMicros, RegisteredEndpoint received) {
         InvokerEndpoint endpoint = received.endpoint();
--- a/src/main/java/waytrestle/discovery/PollFreshness.java
+++ b/src/main/java/waytrestle/discovery/PollFreshness.java
@@ -1,28 +1,30 @@
 package waytrestle.discovery;
 
 /**
- * Knows how current a list is that is polled with blocking queries. The health API holds back the
- * response to a blocking query until something changes, so that the list is current while a query
- * is open, until its response is overdue or it fails.
+ * Tracks how fresh an endpoint list is that is polled with blocking queries. The health API holds
+ * back the response to a blocking query until the list changes. So the list is current while a
+ * query is in flight, until the query fails or its response is overdue.
  *
- * <p>Guards against acting for ever on a list that nobody renews: an outage of service discovery
- * hides which invokers drain.
+ * <p>Guards against using a list for ever that is no longer renewed: during an outage of service
+ * discovery, draining invokers cannot be recognized.
  *
- * <p>Free of I/O, clocks and threads. Not thread-safe: used by the controller's event loop.
+ * <p>Free of I/O, clocks and threads. Not thread-safe: used by the controller's event loop. Times
+ * are in microseconds on the scheduler's clock.
  */
 public final class PollFreshness {
-    /** In place of a time: the list may be acted on however old it is. */
+    /** Stands for a time or duration without an end: the list may be used however old it is. */
     public static final long UNLIMITED = Long.MAX_VALUE;
 
     /**
-     * How long the list may be acted on.
+     * How long the list may be used.
      *
-     * @param responseTimeoutMicros within which a blocking query is answered
-     * @param validAfterFailureMicros after a query that failed or is overdue; {@link #UNLIMITED}
-     *     for ever
+     * @param responseTimeoutMicros time after which the response to a blocking query is overdue
+     * @param validAfterFailureMicros time from the moment when a query failed or its response was
+     *     overdue until the list counts as last received; {@link #UNLIMITED} if the list does not
+     *     become outdated
      */
     public record Limits(long responseTimeoutMicros, long validAfterFailureMicros) {
-        /** A list that may be acted on however old it is. */
+        /** Limits of a list that may be used however old it is. */
         public static final Limits NONE = new Limits(0, UNLIMITED);
     }
 
@@ -34,34 +36,39 @@
         this.limits = limits;
     }
 
-    /** Whether the last query was answered in time. */
+    /** Returns whether the last query was answered in time; true before the first. */
     boolean isCurrent() {
         return current;
     }
 
     /**
-     * When all that the health API holds counts as received here, if no further query is answered;
-     * {@link #UNLIMITED} where that is not limited.
+     * Returns when the endpoint list counts as last received unless a further query is answered.
+     * The time may lie ahead; {@link #UNLIMITED} if the list does not become outdated.
      */
     long receivedAtMicros() {
         return receivedAtMicros;
     }
 
-    /** A query was answered, and the next one follows. */
+    /** Records that a query was answered now, and that the next query follows at once. */
     void queryAnswered(long nowMicros) {
         current = true;
-        receivedAtMicros = validFrom(nowMicros + limits.responseTimeoutMicros());
+        receivedAtMicros = receivedAtAfterFailure(nowMicros + limits.responseTimeoutMicros());
     }
 
-    /** The query has failed, or its response lay unread, since that time. */
-    void queryFailed(long sinceMicros) {
+    /**
+     * Records that a query has failed or that its response lay unread.
+     *
+     * @param failedAtMicros earliest time at which the query can have failed or its response can
+     *     have arrived
+     */
+    void queryFailed(long failedAtMicros) {
         current = false;
-        receivedAtMicros = Math.min(receivedAtMicros, validFrom(sinceMicros));
+        receivedAtMicros = Math.min(receivedAtMicros, receivedAtAfterFailure(failedAtMicros));
     }
 
-    private long validFrom(long micros) {
+    private long receivedAtAfterFailure(long failedAtMicros) {
         return limits.validAfterFailureMicros() == UNLIMITED
                 ? UNLIMITED
-                : micros + limits.validAfterFailureMicros();
+                : failedAtMicros + limits.validAfterFailureMicros();
     }
 }
--- a/src/main/java/waytrestle/discovery/StartTimeTranslation.java
+++ b/src/main/java/waytrestle/discovery/StartTimeTranslation.java
@@ -3,16 +3,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Translates process starts, reported in Unix time, to the monotonic clock. The wall clock may have
- * been stepped since this process began, and whether whoever reports a start has seen the step is
- * not known. So a start is translated by the wall clock as it is and as it would be without steps,
- * and the later result counts: a step forward must not pass a cold invoker off as warm. No start
- * lies in the future: a step back must not keep an invoker cold for as long as the step.
+ * Translates start times of invoker processes from Unix time to the monotonic clock.
+ *
+ * <p>The wall clock may have been stepped since this object was created, and it is unknown whether
+ * the reported start time was taken before or after the step. So the start time is translated
+ * twice, by the present wall clock and by a wall clock without steps, and the later result is used:
+ * a step forward must not make a newly started invoker look warmed up. The result never lies in the
+ * future: otherwise a step back would keep an invoker in slow start for as long as the step.
+ *
+ * <p>Immutable: may be used by any thread if the two clocks may.
  */
 public final class StartTimeTranslation {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Earliest result: 0 stands for a start that is not reported. */
+    /** The earliest result; 0 stands for a start time that is not reported. */
     private static final long EARLIEST_MICROS = 1;
 
     private final LongSupplier monotonicMicros;
@@ -20,7 +24,12 @@
     private final long firstMonotonicMicros;
     private final long firstUnixMillis;
 
-    /** Begins with both clocks as they are now. */
+    /**
+     * Creates a translation that takes the present times of both clocks as its reference.
+     *
+     * @param monotonicMicros monotonic clock, in microseconds
+     * @param unixMillis wall clock, in Unix milliseconds
+     */
     public StartTimeTranslation(LongSupplier monotonicMicros, LongSupplier unixMillis) {
         this.monotonicMicros = monotonicMicros;
         this.unixMillis = unixMillis;
@@ -28,14 +37,17 @@
         this.firstUnixMillis = unixMillis.getAsLong();
     }
 
-    /** The monotonic time of a start; never 0. */
+    /**
+     * Returns the time on the monotonic clock, in microseconds, that corresponds to a start time in
+     * Unix milliseconds. The result is at least 1 and not after the present time.
+     */
     public long toMonotonicMicros(long startedAtUnixMillis) {
-        long now = monotonicMicros.getAsLong();
+        long nowMicros = monotonicMicros.getAsLong();
         long ageMillis = unixMillis.getAsLong() - startedAtUnixMillis;
-        long byWallClock = now - ageMillis * MICROS_PER_MILLI;
+        long byWallClockMicros = nowMicros - ageMillis * MICROS_PER_MILLI;
         long sinceFirstMillis = startedAtUnixMillis - firstUnixMillis;
-        long withoutSteps = firstMonotonicMicros + sinceFirstMillis * MICROS_PER_MILLI;
-        long start = Math.min(now, Math.max(byWallClock, withoutSteps));
-        return Math.max(EARLIEST_MICROS, start);
+        long withoutStepsMicros = firstMonotonicMicros + sinceFirstMillis * MICROS_PER_MILLI;
+        long startMicros = Math.min(nowMicros, Math.max(byWallClockMicros, withoutStepsMicros));
+        return Math.max(EARLIEST_MICROS, startMicros);
     }
 }
