--- a/src/main/java/waytrestle/discovery/watch/WatchClient.java
+++ b/src/main/java/waytrestle/discovery/watch/WatchClient.java
@@ -14,23 +14,30 @@
 import waytrestle.net.TimerHeap;
 
 /**
- * Follows a watch server over TCP: holds the connection and carries out what {@link WatchState}
- * decides.
+ * Follows a watch server over TCP: holds the connection and carries out the commands of {@link
+ * WatchState}.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 public final class WatchClient {
-    /** A fraction of the heartbeat time-out, so that a silent server is found soon after it. */
+    /**
+     * Interval of the heartbeat checks: a fraction of the heartbeat time-out, so that a silent
+     * server is detected soon after the time-out.
+     */
     private static final long HEARTBEAT_CHECK_INTERVAL_MICROS = 200_000;
 
-    /** One event with some 20,000 endpoints; a longer line cannot exhaust the memory. */
+    /**
+     * Enough for an event with some 20,000 endpoints. A longer line ends the connection, so that it
+     * cannot exhaust the memory.
+     */
     private static final int MAX_LINE_BYTES = 4 << 20;
 
     /**
-     * Lateness of the event loop from which on what it finds does not count as just come, and time
-     * after that in which the rest of it is read.
+     * If the event loop has not looked at its connections for longer, data that it reads may have
+     * arrived at any time since then. Data read within this time after such a late read counts as
+     * equally old, since the late read does not return everything at once.
      */
-    private static final long LATE_MICROS = 50_000;
+    private static final long LATE_READ_MICROS = 50_000;
 
     private static final int MAX_UNREAD_BYTES = 64 * 1024;
     private static final int INITIAL_LINE_BYTES = 1_024;
@@ -45,16 +52,24 @@
     private InetSocketAddress address;
     private WatchConnection connection;
     private TimerHeap.Timer nextConnect;
+
+    /** When the last late read was; at first so long ago that subtracting it cannot overflow. */
     private long lateReadAtMicros = Long.MIN_VALUE / 2;
-    private long earliestOfLateMicros;
+
+    /** Earliest time at which the data of the last late read can have arrived. */
+    private long lateReadArrivalMicros;
 
     /**
-     * Does not connect yet.
+     * Creates a client that does not connect yet.
      *
+     * @param address address of the watch server
      * @param eventListener receives each event once, in the order of revisions
-     * @param synchronizedListener runs when the server has answered for the first time
-     * @param freshnessListener hears by when the list counts as outdated, at each change
-     * @param log receives a line for each connection dropped because of what it carried
+     * @param synchronizedListener runs once, when the server has sent its first line that is not
+     *     behind the known revision and leaves no event out
+     * @param freshnessListener receives when the endpoint list counts as last received, whenever
+     *     that changes
+     * @param log receives a line for each connection that is dropped because a line on it is
+     *     malformed or too long
      */
     public WatchClient(
             Loop loop,
@@ -75,46 +90,51 @@
         this.log = log;
     }
 
-    /** Starts to follow the server; to be called on the loop. */
+    /** Starts to follow the server. Must be called on the event loop. */
     public void start() {
         handle(new WatchState.AddressChanged());
         checkHeartbeat();
     }
 
-    /** Follows the server at this address from now on; reconnects even where it is the same. */
+    /** Reconnects to the server at the given address, even if the address has not changed. */
     public void addressChanged(InetSocketAddress newAddress) {
         address = newAddress;
         handle(new WatchState.AddressChanged());
     }
 
-    /** Reads what has come meanwhile, where the event loop has been busy elsewhere for long. */
+    /**
+     * Reads the lines that have already arrived, if the event loop was too busy to look at its
+     * connections for long.
+     */
     public void pollIfBehind() {
         if (connection != null) {
             connection.transport.pollIfBehind();
         }
         if (loop.isBehind()) {
-            handle(new WatchState.ProcessStopped(earliestMicros()));
+            handle(new WatchState.ProcessStopped(earliestArrivalMicros()));
         }
     }
 
     private void checkHeartbeat() {
-        pollIfBehind(); // the silence may be this process's own
+        // Heartbeats may have arrived unread while this process was busy or not running.
+        pollIfBehind();
         handle(new WatchState.HeartbeatCheckDue());
         loop.after(HEARTBEAT_CHECK_INTERVAL_MICROS, this::checkHeartbeat);
     }
 
     /**
-     * The earliest time at which what is found now can have happened. What lay in the kernel while
-     * the process did not run is not all read at once: the end of a connection comes behind its
-     * last lines.
+     * Returns the earliest time at which a line or the end of a connection that is read only now
+     * can have arrived, in microseconds on the event loop's clock. Data that lay in the kernel
+     * while this process did not run is not all read at once: the end of a connection is read after
+     * its last lines.
      */
-    private long earliestMicros() {
-        long now = Loop.nowMicros();
-        if (loop.unseenMicros() > LATE_MICROS) {
-            lateReadAtMicros = now;
-            earliestOfLateMicros = now - loop.unseenMicros();
+    private long earliestArrivalMicros() {
+        long nowMicros = Loop.nowMicros();
+        if (loop.unseenMicros() > LATE_READ_MICROS) {
+            lateReadAtMicros = nowMicros;
+            lateReadArrivalMicros = nowMicros - loop.unseenMicros();
         }
-        return now - lateReadAtMicros < LATE_MICROS ? earliestOfLateMicros : now;
+        return nowMicros - lateReadAtMicros < LATE_READ_MICROS ? lateReadArrivalMicros : nowMicros;
     }
 
     private void handle(WatchState.Event event) {
@@ -146,7 +166,10 @@
                         () -> connection = new WatchConnection(reconnect.afterRevision()));
     }
 
-    /** One connection: requests the events after a revision and splits what arrives into lines. */
+    /**
+     * One connection to the watch server: requests the events after a revision and splits the
+     * received bytes into lines.
+     */
     private final class WatchConnection implements ConnectionHandler {
         private final Connection transport;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
@@ -188,7 +211,7 @@
         private void append(byte next) {
             line.write(next);
             if (line.size() > MAX_LINE_BYTES) {
-                fail("a line is over " + MAX_LINE_BYTES + " bytes");
+                fail("a line is longer than " + MAX_LINE_BYTES + " bytes");
             }
         }
 
@@ -205,7 +228,7 @@
                 fail(e.getMessage());
                 return;
             }
-            handle(new WatchState.LineReceived(event, earliestMicros()));
+            handle(new WatchState.LineReceived(event, earliestArrivalMicros()));
         }
 
         private void fail(String reason) {
@@ -217,14 +240,14 @@
                             + " reason=\""
                             + reason
                             + "\"");
-            handle(new WatchState.ConnectionFailed(earliestMicros()));
+            handle(new WatchState.ConnectionFailed(earliestArrivalMicros()));
         }
 
         @Override
         public void closed(IOException cause) {
             if (!dropped) {
                 dropped = true;
-                handle(new WatchState.ConnectionFailed(earliestMicros()));
+                handle(new WatchState.ConnectionFailed(earliestArrivalMicros()));
             }
         }
     }
--- a/src/main/java/waytrestle/discovery/watch/WatchEventReader.java
+++ b/src/main/java/waytrestle/discovery/watch/WatchEventReader.java
@@ -10,15 +10,16 @@
 import waytrestle.scheduler.EndpointState;
 
 /**
- * Reads the lines of a watch stream: a watch event as JSON, or the number of the last one alone.
+ * Reads the lines of the watch stream. An event is a JSON object; a heartbeat is a JSON object
+ * without endpoints or a bare revision.
  *
  * <p>Immutable: may be used by any thread.
  */
 public final class WatchEventReader {
     private static final int IPV4_BYTES = 4;
-    private static final int MAX_BYTE = 255;
+    private static final int MAX_BYTE_VALUE = 255;
 
-    /** The weight of an invoker that is listed without one. */
+    /** Weight of an invoker that is listed without a weight. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private final List<String> zones;
@@ -27,8 +28,9 @@
     /**
      * Creates a reader.
      *
-     * @param zones the zones by index; a zone that is not among them reads as the first
-     * @param kinds the kinds of invokers by index, read likewise
+     * @param zones names of the configured zones, by index; an unknown zone counts as the first
+     * @param kinds names of the configured kinds of invoker, by index; an unknown kind counts as
+     *     the first
      */
     public WatchEventReader(List<String> zones, List<String> kinds) {
         this.zones = zones;
@@ -36,15 +38,15 @@
     }
 
     /**
-     * Reads a line of the stream. The endpoints are null for a line that holds a revision alone, as
-     * a number or as an event without endpoints: a heartbeat.
+     * Reads a line of the watch stream: an event or a heartbeat. A heartbeat is a bare revision or
+     * a JSON object without endpoints, that is, without the member {@code pool}.
      *
-     * @throws MalformedJsonException if the line is neither an event nor a number
+     * @throws MalformedJsonException if the line is neither a valid event nor a heartbeat
      */
     public WatchEvent readLine(String text) {
         String line = text.trim();
         if (line.startsWith("{")) {
-            JsonObject object = JsonObject.parse(line, "a line of the notice board");
+            JsonObject object = JsonObject.parse(line, "a line of the watch stream");
             boolean heartbeat = !object.has("pool");
             return heartbeat ? heartbeat(object.requiredWholeNumber("rev")) : readEvent(object);
         }
@@ -52,7 +54,7 @@
             return heartbeat(Long.parseLong(line));
         } catch (NumberFormatException e) {
             throw new MalformedJsonException(
-                    "a line of the notice board is neither an event nor a number");
+                    "a line of the watch stream is neither a JSON object nor a revision");
         }
     }
 
@@ -61,9 +63,10 @@
     }
 
     /**
-     * Reads one event.
+     * Reads an event that has endpoints.
      *
-     * @throws MalformedJsonException if a member is missing, of the wrong type or out of its range
+     * @throws MalformedJsonException if a required member is missing, or one has the wrong type or
+     *     an invalid value
      */
     public WatchEvent readEvent(JsonObject event) {
         long revision = event.requiredWholeNumber("rev");
@@ -94,33 +97,35 @@
             case "Ready" -> EndpointState.READY;
             case "Terminating" -> EndpointState.DRAINING;
             case "Gone" -> EndpointState.GONE;
-            default -> throw new MalformedJsonException("health is unknown: " + health);
+            default -> throw new MalformedJsonException("unknown health: " + health);
         };
     }
 
+    /** Returns the index of a name, or 0 if the name is not configured. */
     private static int indexOrFirst(List<String> names, String name) {
         return Math.max(0, names.indexOf(name));
     }
 
     /**
-     * Reads an IPv4 address in figures with its port. Names are refused: nothing is looked up.
+     * Reads an IPv4 address with a port, such as {@code 127.0.0.1:8080}. Host names are rejected: a
+     * look-up would block.
      *
-     * @param field names the address in the message of an error
-     * @throws MalformedJsonException if the text is no such address
+     * @param field name of the field that holds the text, for the error message
+     * @throws MalformedJsonException if the text is not an IPv4 address with a port
      */
     public static InetSocketAddress parseAddress(String text, String field) {
         int colon = text.lastIndexOf(':');
         try {
-            byte[] host = ipv4(text.substring(0, Math.max(0, colon)));
+            byte[] host = parseIpv4(text.substring(0, Math.max(0, colon)));
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (IllegalArgumentException | UnknownHostException e) {
             throw new MalformedJsonException(
-                    field + " is no address in figures with a port: " + text);
+                    field + " is not an IPv4 address with a port: " + text);
         }
     }
 
-    private static byte[] ipv4(String text) {
+    private static byte[] parseIpv4(String text) {
         String[] parts = text.split("\\.", -1);
         if (parts.length != IPV4_BYTES) {
             throw new NumberFormatException();
@@ -128,7 +133,7 @@
         byte[] address = new byte[IPV4_BYTES];
         for (int i = 0; i < IPV4_BYTES; i++) {
             int part = Integer.parseInt(parts[i]);
-            if (part < 0 || part > MAX_BYTE) {
+            if (part < 0 || part > MAX_BYTE_VALUE) {
                 throw new NumberFormatException();
             }
             address[i] = (byte) part;
