--- a/src/test/java/waytrestle/discovery/ConsulHealthReaderTest.java
+++ b/src/test/java/waytrestle/discovery/ConsulHealthReaderTest.java
@@ -11,7 +11,7 @@
 import waytrestle.scheduler.EndpointState;
 import waytrestle.scheduler.InvokerEndpoint;
 
-/** Which endpoints a response of Consul's health API lists. */
+/** Tests which endpoints are read from a response body of Consul's health API. */
 class ConsulHealthReaderTest {
     private static final long NOW_MICROS = 10_000_000;
     private static final long NOW_UNIX_MILLIS = 1_700_000_000_000L;
@@ -26,16 +26,16 @@
         return reader.read(body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private RegisteredEndpoint readOnly(String entry) {
+    private RegisteredEndpoint readSingleEntry(String entry) {
         List<RegisteredEndpoint> endpoints = read("[" + entry + "]").orElseThrow();
         assertEquals(1, endpoints.size());
         return endpoints.get(0);
     }
 
     @Test
-    void aCompleteEntryIsReadWithAllItsFields() {
+    void completeEntryIsReadWithAllItsFields() {
         RegisteredEndpoint read =
-                readOnly(
+                readSingleEntry(
                         """
                         {"Service": {"Address": "10.0.0.1", "Port": 80, "CreateIndex": 7,
                           "Weights": {"Passing": 2.5},
@@ -49,9 +49,9 @@
     }
 
     @Test
-    void missingFieldsHaveDefaultsAndUnknownNamesCountAsTheFirst() {
+    void missingFieldsGetDefaultsAndUnknownZonesAndKindsCountAsTheFirst() {
         RegisteredEndpoint read =
-                readOnly(
+                readSingleEntry(
                         """
                         {"CreateIndex": 4, "Node": {"Address": "::1"},
                          "Service": {"Port": 80, "Meta": {"zone": "north", "kind": "small"}}}\
@@ -62,9 +62,9 @@
     }
 
     @Test
-    void anEndpointWithACriticalCheckIsDraining() {
+    void endpointWithACriticalCheckIsDraining() {
         RegisteredEndpoint read =
-                readOnly(
+                readSingleEntry(
                         """
                         {"Service": {"Address": "10.0.0.1", "Port": 80},
                          "Checks": [{"Status": "passing"}, {"Status": "critical"}]}\
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void anEntryWithoutANumericAddressIsLeftOut() {
+    void entryWithAHostNameOrWithoutAnAddressIsLeftOut() {
         String body =
                 """
                 [{"Service": {"Address": "invoker.example", "Port": 80}},
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aBodyThatIsNoListIsRejected() {
+    void bodyThatIsNotAJsonArrayGivesNoList() {
         assertTrue(read("").isEmpty());
         assertTrue(read("{}").isEmpty());
         assertTrue(read("[{").isEmpty());
--- a/src/test/java/waytrestle/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/waytrestle/discovery/EndpointDirectoryTest.java
@@ -21,13 +21,13 @@
 import waytrestle.scheduler.InvokerEndpoint;
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
-/** What the endpoint directory publishes, and when it polls next. */
+/** Tests what the endpoint directory publishes and when it polls next. */
 class EndpointDirectoryTest {
     private static final long MIN_BACKOFF_MICROS = 200_000;
     private static final long MAX_BACKOFF_MICROS = 5_000_000;
     private static final long SEED = 1;
-    private static final long RESPONSE_MICROS = 12_000_000;
-    private static final long VALID_MICROS = 2_000_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 12_000_000;
+    private static final long VALID_AFTER_FAILURE_MICROS = 2_000_000;
 
     private final List<Command> commands = new ArrayList<>();
     private EndpointDirectory directory = directory(false);
@@ -39,7 +39,7 @@
                 MAX_BACKOFF_MICROS,
                 publishesFailures,
                 SEED,
-                new PollFreshness.Limits(RESPONSE_MICROS, VALID_MICROS));
+                new PollFreshness.Limits(RESPONSE_TIMEOUT_MICROS, VALID_AFTER_FAILURE_MICROS));
     }
 
     private static RegisteredEndpoint ready(String id, long createIndex) {
@@ -63,8 +63,8 @@
         directory.handle(nowMicros, new PollFailed(nowMicros), commands::add);
     }
 
-    /** The update published by the last event, null where there was none. */
-    private EndpointsUpdated update() {
+    /** Returns the update published by the last event; null if there was none. */
+    private EndpointsUpdated publishedUpdate() {
         for (Command command : commands) {
             if (command instanceof PublishUpdate publish) {
                 return publish.update();
@@ -78,29 +78,29 @@
     }
 
     @Test
-    void theFirstSnapshotIsPublishedWholeAndLaterOnesOnlyAsChanges() {
+    void firstSnapshotIsPublishedWholeAndLaterOnesAsChangesOnly() {
         receiveSnapshot(5, ready("a", 1), ready("b", 1));
-        assertTrue(update().snapshot());
+        assertTrue(publishedUpdate().snapshot());
         assertEquals(new Poll(5, 0), nextPoll());
         receiveSnapshot(6, ready("a", 1), ready("b", 1));
-        assertNull(update());
+        assertNull(publishedUpdate());
         receiveSnapshot(7, registered("a", EndpointState.DRAINING, 0, 1));
-        assertFalse(update().snapshot());
+        assertFalse(publishedUpdate().snapshot());
         assertEquals(
                 List.of(EndpointState.DRAINING, EndpointState.GONE),
-                update().entries().stream().map(InvokerEndpoint::state).toList());
+                publishedUpdate().entries().stream().map(InvokerEndpoint::state).toList());
     }
 
     @Test
-    void aSnapshotThatShrinksToNothingTakesEffectAtOnce() {
+    void emptySnapshotMarksAllEndpointsAsGoneAtOnce() {
         receiveSnapshot(5, ready("a", 1));
         receiveSnapshot(6);
-        assertEquals(EndpointState.GONE, update().entries().get(0).state());
+        assertEquals(EndpointState.GONE, publishedUpdate().entries().get(0).state());
         assertEquals(0, directory.size());
     }
 
     @Test
-    void failedPollsKeepTheSnapshotAndBackOffUpToTheMaximum() {
+    void failedPollsKeepTheSnapshotAndBackOffUpToTheLongestBackoff() {
         receiveSnapshot(5, ready("a", 1));
         long longestMicros = 0;
         for (int i = 0; i < 40; i++) {
@@ -109,8 +109,8 @@
             assertEquals(
                     1 + freshnessChanges,
                     commands.size(),
-                    "no list is published, only the next poll is set");
-            assertNull(update());
+                    "only the next poll and a change of freshness, no update of the list");
+            assertNull(publishedUpdate());
             assertEquals(5, nextPoll().index());
             assertTrue(nextPoll().delayMicros() <= MAX_BACKOFF_MICROS);
             assertTrue(nextPoll().delayMicros() >= MIN_BACKOFF_MICROS / 2);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theBackoffStartsAnewAfterASnapshot() {
+    void backoffStartsAgainAtTheShortestAfterASnapshot() {
         for (int i = 0; i < 40; i++) {
             failPoll();
         }
@@ -133,38 +133,41 @@
     }
 
     @Test
-    void thereIsNoAgeBeforeTheFirstSnapshot() {
+    void ageIsMinusOneBeforeTheFirstSnapshot() {
         failPoll();
         assertEquals(-1, directory.ageMicros(nowMicros));
     }
 
     @Test
-    void failuresArePublishedWhereTheSchedulerPolls() {
+    void failedPollIsPublishedIfTheSchedulerRequestsThePolls() {
         directory = directory(true);
         failPoll();
         assertEquals(new PublishFailure(), commands.get(0));
     }
 
     @Test
-    void anIndexThatGoesBackIsPolledFromTheStart() {
+    void indexThatGoesBackResetsTheNextPollToIndexZeroAfterADelay() {
         receiveSnapshot(500, ready("a", 1));
         receiveSnapshot(3, ready("a", 1));
         assertEquals(0, nextPoll().index());
-        assertTrue(nextPoll().delayMicros() > 0, "not at once: the health API has just restarted");
+        assertTrue(
+                nextPoll().delayMicros() > 0,
+                "the next poll is delayed, since the health API has just restarted");
     }
 
     @Test
-    void anEndpointRegisteredAnewHasStartedAnew() {
+    void endpointRegisteredAgainWithoutAReportedStartCountsAsStartedNow() {
         receiveSnapshot(1, ready("a", 10));
         nowMicros += 9_000;
         receiveSnapshot(2, ready("a", 11));
-        assertEquals(nowMicros, update().entries().get(0).startedAtMicros());
+        assertEquals(nowMicros, publishedUpdate().entries().get(0).startedAtMicros());
         receiveSnapshot(3, ready("a", 11));
-        assertNull(update(), "the same start keeps its time");
+        assertNull(
+                publishedUpdate(), "an endpoint that is not registered again keeps its start time");
     }
 
-    /** By when the list counts as outdated, by the last event; null where that has not changed. */
-    private PublishFreshness freshness() {
+    /** Returns the freshness published by the last event; null if it has not changed. */
+    private PublishFreshness publishedFreshness() {
         for (Command command : commands) {
             if (command instanceof PublishFreshness publish) {
                 return publish;
@@ -174,41 +177,47 @@
     }
 
     @Test
-    void aListIsCurrentUntilTheNextResponseIsOverdue() {
+    void listIsCurrentUntilTheNextResponseIsOverdue() {
         receiveSnapshot(5, ready("a", 1));
-        long overdueAt = nowMicros + RESPONSE_MICROS;
-        assertEquals(new PublishFreshness(true, overdueAt + VALID_MICROS), freshness());
+        long overdueAtMicros = nowMicros + RESPONSE_TIMEOUT_MICROS;
+        assertEquals(
+                new PublishFreshness(true, overdueAtMicros + VALID_AFTER_FAILURE_MICROS),
+                publishedFreshness());
     }
 
     @Test
-    void afterAFailedPollTheListCountsForALimitedTimeWhichFurtherFailuresDoNotExtend() {
+    void listStaysValidForALimitedTimeAfterAFailedPollWhichFurtherFailuresDoNotExtend() {
         receiveSnapshot(5, ready("a", 1));
         nowMicros += 700;
         failPoll();
-        assertEquals(new PublishFreshness(false, nowMicros + VALID_MICROS), freshness());
+        assertEquals(
+                new PublishFreshness(false, nowMicros + VALID_AFTER_FAILURE_MICROS),
+                publishedFreshness());
         nowMicros += 700;
         failPoll();
-        assertNull(freshness());
+        assertNull(publishedFreshness());
         receiveSnapshot(5, ready("a", 1));
-        assertTrue(freshness().current());
+        assertTrue(publishedFreshness().current());
     }
 
     @Test
-    void aListThatLayUnreadIsAsOldAsThatAndIsAskedForAgainAtOnce() {
+    void snapshotThatLayUnreadCountsFromItsEarliestArrivalAndIsPolledAgainAtOnce() {
         receiveSnapshot(5, ready("a", 1));
         commands.clear();
         nowMicros += 3_000_000;
-        long sinceMicros = nowMicros - 2_500_000;
+        long earliestArrivalMicros = nowMicros - 2_500_000;
         directory.handle(
                 nowMicros,
-                new SnapshotReceived(6, List.of(ready("a", 1)), sinceMicros),
+                new SnapshotReceived(6, List.of(ready("a", 1)), earliestArrivalMicros),
                 commands::add);
-        assertEquals(new PublishFreshness(false, sinceMicros + VALID_MICROS), freshness());
+        assertEquals(
+                new PublishFreshness(false, earliestArrivalMicros + VALID_AFTER_FAILURE_MICROS),
+                publishedFreshness());
         assertEquals(new Poll(0, 0), nextPoll());
     }
 
     @Test
-    void withoutALimitTheListCountsForEver() {
+    void listWithoutLimitsDoesNotBecomeOutdatedAfterAFailedPoll() {
         directory =
                 new EndpointDirectory(
                         MIN_BACKOFF_MICROS,
@@ -218,6 +227,6 @@
                         PollFreshness.Limits.NONE);
         receiveSnapshot(5, ready("a", 1));
         failPoll();
-        assertEquals(new PublishFreshness(false, PollFreshness.UNLIMITED), freshness());
+        assertEquals(new PublishFreshness(false, PollFreshness.UNLIMITED), publishedFreshness());
     }
 }
--- a/src/test/java/waytrestle/discovery/StartTimesTest.java
+++ b/src/test/java/waytrestle/discovery/StartTimesTest.java
@@ -4,19 +4,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The translation of reported start times to the scheduler's clock. */
+/** Tests the translation of reported start times to the scheduler's monotonic clock. */
 class StartTimesTest {
     private long nowMicros = 10_000_000;
     private long nowUnixMillis = 1_700_000_000_000L;
     private final StartTimes startTimes = new StartTimes(() -> nowMicros, () -> nowUnixMillis);
 
     @Test
-    void aStartLiesAsFarBackOnTheMonotonicClockAsOnTheWallClock() {
+    void startIsAsLongAgoOnTheMonotonicClockAsOnTheWallClock() {
         assertEquals(7_000_000, startTimes.toMonotonicMicros("a", nowUnixMillis - 3_000));
     }
 
     @Test
-    void aStartReportedAgainKeepsItsTimeWhenTheClocksDrift() {
+    void startReportedAgainKeepsItsFirstTranslationWhenTheClocksDrift() {
         long startedAtUnixMillis = nowUnixMillis - 3_000;
         startTimes.toMonotonicMicros("a", startedAtUnixMillis);
         nowMicros += 1_000_000;
@@ -25,24 +25,24 @@
     }
 
     @Test
-    void aLaterStartOfTheSameEndpointIsTranslatedAnew() {
+    void changedStartOfAnEndpointIsTranslatedAgain() {
         startTimes.toMonotonicMicros("a", nowUnixMillis - 3_000);
         assertEquals(9_000_000, startTimes.toMonotonicMicros("a", nowUnixMillis - 1_000));
     }
 
     @Test
-    void aStartBeforeTheMonotonicClockBeganIsNotTakenForUnreported() {
+    void startBeforeTheOriginOfTheMonotonicClockBecomesOneMicrosecondNotUnreported() {
         assertEquals(1, startTimes.toMonotonicMicros("a", nowUnixMillis - 60_000));
     }
 
     @Test
-    void anUnreportedStartStaysUnreported() {
+    void unreportedStartStaysUnreportedAfterAReportedOne() {
         startTimes.toMonotonicMicros("a", nowUnixMillis - 3_000);
         assertEquals(StartTimes.NOT_REPORTED, startTimes.toMonotonicMicros("a", 0));
     }
 
     @Test
-    void aStepOfTheWallClockMakesNoInvokerOlderAndPutsNoStartInTheFuture() {
+    void wallClockStepNeitherMovesAStartBackNorPutsItInTheFuture() {
         long startedAtUnixMillis = nowUnixMillis;
         nowUnixMillis += 3_600_000;
         assertEquals(10_000_000, startTimes.toMonotonicMicros("a", startedAtUnixMillis));
--- a/src/test/java/waytrestle/discovery/watch/ListFreshnessTest.java
+++ b/src/test/java/waytrestle/discovery/watch/ListFreshnessTest.java
@@ -9,12 +9,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** By when the endpoint list counts as outdated, for each way in which the server can be lost. */
+/**
+ * Tests when the endpoint list counts as last received, for each way in which the watch server can
+ * be lost.
+ */
 class ListFreshnessTest {
     private static final long START_MICROS = 1_000_000;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    private final WatchState state = new WatchState(3, SECOND);
+    private final WatchState state = new WatchState(3, SECOND_MICROS);
     private long nowMicros = START_MICROS;
     private WatchState.PublishFreshness published;
 
@@ -25,10 +28,10 @@
         assertFalse(published.current());
         assertTrue(
                 published.receivedAtMicros() < START_MICROS,
-                "the list of the start is outdated until the server has answered");
+                "the endpoint list known at the start is outdated until the server has answered");
         assertEquals(WatchState.LossCause.STARTING, published.cause());
         receiveHeartbeat(3);
-        assertCurrentUntil(4 * SECOND);
+        assertCurrentUntil(4 * SECOND_MICROS);
         published = null;
     }
 
@@ -51,12 +54,22 @@
         handle(new WatchState.LineReceived(new WatchEvent(revision, false, List.of()), nowMicros));
     }
 
-    /** It is current, and would be outdated from then on if nothing more came. */
+    /**
+     * Asserts that the list is current and, without a further line, counts as last received at the
+     * given time.
+     *
+     * @param micros time since the start of the test, in microseconds
+     */
     private void assertCurrentUntil(long micros) {
         assertTrue(published.current());
         assertEquals(START_MICROS + micros, published.receivedAtMicros());
     }
 
+    /**
+     * Asserts that the list is not current and counts as last received at the given time.
+     *
+     * @param micros time since the start of the test, in microseconds
+     */
     private void assertOutdatedAfter(long micros, WatchState.LossCause cause) {
         assertFalse(published.current());
         assertEquals(START_MICROS + micros, published.receivedAtMicros());
@@ -64,103 +77,103 @@
     }
 
     @Test
-    void anEndedConnectionOutdatesTheListAfterTwoSeconds() {
+    void endedConnectionOutdatesTheListAfterTwoSeconds() {
         handle(new WatchState.ConnectionFailed(nowMicros));
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.CLOSED);
-        nowMicros += SECOND;
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.CLOSED);
+        nowMicros += SECOND_MICROS;
         handle(new WatchState.ConnectionFailed(nowMicros));
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.CLOSED);
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.CLOSED);
     }
 
     @Test
-    void anEndThatIsFoundLateCountsFromWhenItMayHaveBeen() {
-        nowMicros += 3 * SECOND;
+    void connectionEndDetectedLateCountsFromItsEarliestTime() {
+        nowMicros += 3 * SECOND_MICROS;
         handle(new WatchState.ConnectionFailed(START_MICROS));
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.CLOSED);
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.CLOSED);
     }
 
     @Test
-    void aHeartbeatThatIsReadLateCountsFromWhenItMayHaveCome() {
-        nowMicros += 3 * SECOND;
+    void heartbeatReadLateCountsFromItsEarliestArrival() {
+        nowMicros += 3 * SECOND_MICROS;
         WatchEvent heartbeat = new WatchEvent(3, false, null);
-        handle(new WatchState.LineReceived(heartbeat, START_MICROS + SECOND));
-        assertCurrentUntil(5 * SECOND);
+        handle(new WatchState.LineReceived(heartbeat, START_MICROS + SECOND_MICROS));
+        assertCurrentUntil(5 * SECOND_MICROS);
     }
 
     @Test
-    void aSilentServerOutdatesTheListFourSecondsAfterItsLastLine() {
-        nowMicros += 2 * SECOND;
+    void silentServerOutdatesTheListFourSecondsAfterItsLastLine() {
+        nowMicros += 2 * SECOND_MICROS;
         handle(new WatchState.HeartbeatCheckDue());
-        assertOutdatedAfter(4 * SECOND, WatchState.LossCause.SILENT);
-        nowMicros += SECOND;
+        assertOutdatedAfter(4 * SECOND_MICROS, WatchState.LossCause.SILENT);
+        nowMicros += SECOND_MICROS;
         handle(new WatchState.ConnectionFailed(nowMicros));
-        assertOutdatedAfter(4 * SECOND, WatchState.LossCause.SILENT);
+        assertOutdatedAfter(4 * SECOND_MICROS, WatchState.LossCause.SILENT);
     }
 
     @Test
-    void heartbeatsOfAnOldRevisionCountAsSilence() {
+    void heartbeatsWithAnOldRevisionCountAsSilence() {
         for (int i = 0; i < 5; i++) {
-            nowMicros += SECOND / 2;
+            nowMicros += SECOND_MICROS / 2;
             receiveHeartbeat(2);
             handle(new WatchState.HeartbeatCheckDue());
         }
-        assertOutdatedAfter(4 * SECOND, WatchState.LossCause.SILENT);
+        assertOutdatedAfter(4 * SECOND_MICROS, WatchState.LossCause.SILENT);
     }
 
     @Test
-    void anAddressChangeOutdatesTheListAfterFourSeconds() {
+    void addressChangeOutdatesTheListAfterFourSeconds() {
         handle(new WatchState.AddressChanged());
-        assertOutdatedAfter(4 * SECOND, WatchState.LossCause.MOVED);
+        assertOutdatedAfter(4 * SECOND_MICROS, WatchState.LossCause.MOVED);
     }
 
     @Test
-    void anUnansweredRequestOutdatesTheListAtOnce() {
+    void unansweredRequestOutdatesTheListAtOnce() {
         handle(new WatchState.ConnectionFailed(nowMicros));
-        nowMicros += SECOND / 10;
+        nowMicros += SECOND_MICROS / 10;
         handle(new WatchState.RequestSent());
-        assertOutdatedAfter(SECOND / 10, WatchState.LossCause.CLOSED);
-        nowMicros += 3 * SECOND;
+        assertOutdatedAfter(SECOND_MICROS / 10, WatchState.LossCause.CLOSED);
+        nowMicros += 3 * SECOND_MICROS;
         handle(new WatchState.RequestSent());
-        assertOutdatedAfter(SECOND / 10, WatchState.LossCause.CLOSED);
+        assertOutdatedAfter(SECOND_MICROS / 10, WatchState.LossCause.CLOSED);
     }
 
     @Test
-    void aMissingEventOutdatesTheListUntilTheServerReportsThatNoneIsLeft() {
+    void missingEventOutdatesTheListUntilAHeartbeatConfirmsTheLastEvent() {
         receiveHeartbeat(5);
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.GAP);
-        nowMicros += 3 * SECOND;
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.GAP);
+        nowMicros += 3 * SECOND_MICROS;
         handle(new WatchState.RequestSent());
         receiveEvent(4);
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.GAP);
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.GAP);
         assertTrue(published.catchingUp());
         receiveEvent(5);
-        assertOutdatedAfter(2 * SECOND, WatchState.LossCause.GAP);
+        assertOutdatedAfter(2 * SECOND_MICROS, WatchState.LossCause.GAP);
         receiveHeartbeat(5);
-        assertCurrentUntil(7 * SECOND);
+        assertCurrentUntil(7 * SECOND_MICROS);
     }
 
     @Test
-    void eventsOfAServerThatIsCurrentOutdateNothing() {
+    void eventsInOrderKeepACurrentListCurrent() {
         receiveEvent(4);
         receiveEvent(5);
-        assertNull(published, "no time has passed");
-        nowMicros += SECOND;
+        assertNull(published, "the events leave the freshness unchanged, as no time has passed");
+        nowMicros += SECOND_MICROS;
         receiveHeartbeat(5);
-        assertCurrentUntil(5 * SECOND);
+        assertCurrentUntil(5 * SECOND_MICROS);
     }
 
     @Test
-    void aProcessThatWasStoppedWithoutAConnectionMayHaveMissedEventsSinceThen() {
+    void processStoppedWhileDisconnectedOutdatesTheListFromItsStop() {
         handle(new WatchState.ConnectionFailed(nowMicros));
-        nowMicros += SECOND;
-        handle(new WatchState.ProcessStopped(START_MICROS + SECOND / 2));
-        assertOutdatedAfter(SECOND / 2, WatchState.LossCause.CLOSED);
+        nowMicros += SECOND_MICROS;
+        handle(new WatchState.ProcessStopped(START_MICROS + SECOND_MICROS / 2));
+        assertOutdatedAfter(SECOND_MICROS / 2, WatchState.LossCause.CLOSED);
     }
 
     @Test
-    void aProcessThatWasStoppedWithAConnectionReadsWhatHasCome() {
-        nowMicros += SECOND;
+    void processStoppedWhileConnectedLeavesTheListCurrent() {
+        nowMicros += SECOND_MICROS;
         handle(new WatchState.ProcessStopped(START_MICROS));
-        assertNull(published, "nothing has changed");
+        assertNull(published, "a connected process still reads all events that were sent");
     }
 }
--- a/src/test/java/waytrestle/discovery/watch/WatchEventFuzzTest.java
+++ b/src/test/java/waytrestle/discovery/watch/WatchEventFuzzTest.java
@@ -6,22 +6,22 @@
 import waytrestle.json.MalformedJsonException;
 
 /**
- * Coverage-guided fuzzing of the watch server's lines: each is an event, a heartbeat or malformed,
- * and never anything else.
+ * Coverage-guided fuzzing of the reader of watch lines: each line is an event with complete
+ * endpoints, a heartbeat, or rejected with a {@link MalformedJsonException}.
  */
 class WatchEventFuzzTest {
     private final WatchEventReader reader =
             new WatchEventReader(List.of("east", "west"), List.of("std"));
 
     @FuzzTest(maxDuration = "60s")
-    void aLineIsReadOrMalformed(byte[] data) {
+    void lineIsReadCompletelyOrRejectedAsMalformed(byte[] data) {
         try {
             WatchEvent event = reader.readLine(new String(data, StandardCharsets.UTF_8));
             if (!event.isHeartbeat()) {
                 event.endpoints().forEach(WatchEventFuzzTest::requireComplete);
             }
         } catch (MalformedJsonException expected) {
-            // Most inputs are malformed: the client drops the connection and reconnects.
+            // Most inputs are malformed: the watch client then drops the connection and reconnects.
         }
     }
 
--- a/src/test/java/waytrestle/discovery/watch/WatchEventReaderTest.java
+++ b/src/test/java/waytrestle/discovery/watch/WatchEventReaderTest.java
@@ -7,24 +7,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How lines of the watch stream are told apart. */
+/** Tests how events and heartbeats of the watch stream are distinguished. */
 class WatchEventReaderTest {
     private final WatchEventReader reader =
             new WatchEventReader(List.of("east", "west"), List.of("std"));
 
     /**
-     * A revision without endpoints passed for an event that changes nothing: one that came before
-     * its event would have had that event dropped as a duplicate.
+     * Guards against reading a revision without endpoints as an event that changes nothing. If such
+     * a line arrived before the event of the same revision, that event would be dropped as a
+     * duplicate.
      */
     @Test
-    void aRevisionWithoutEndpointsIsAHeartbeatInEitherForm() {
+    void bareRevisionAndObjectWithoutEndpointsAreHeartbeats() {
         assertTrue(reader.readLine("41").isHeartbeat());
         assertTrue(reader.readLine("{\"rev\":41}").isHeartbeat());
         assertEquals(41, reader.readLine("{\"rev\":41}").revision());
     }
 
     @Test
-    void anEventOfAnEmptySnapshotIsNone() {
+    void snapshotWithoutEndpointsIsAnEventAndNotAHeartbeat() {
         WatchEvent event = reader.readLine("{\"rev\":41,\"pool\":{\"whole\":true,\"hosts\":[]}}");
         assertFalse(event.isHeartbeat());
         assertTrue(event.snapshot());
--- a/src/test/java/waytrestle/discovery/watch/WatchStateTest.java
+++ b/src/test/java/waytrestle/discovery/watch/WatchStateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the watch state publishes, and when it reconnects. */
+/** Tests what the watch state publishes and when it reconnects. */
 class WatchStateTest {
     private static final long KNOWN_REVISION = 3;
     private static final long DRAIN_GRACE_MICROS = 2_000_000;
@@ -14,6 +14,7 @@
     private final WatchState state = new WatchState(KNOWN_REVISION, DRAIN_GRACE_MICROS);
     private long nowMicros = 1_000_000;
 
+    /** Handles an event; returns the commands as text, except those that publish the freshness. */
     private List<String> handle(WatchState.Event event) {
         List<String> commands = new ArrayList<>();
         state.handle(
@@ -51,6 +52,7 @@
         return handle(new WatchState.HeartbeatCheckDue());
     }
 
+    /** Fails the connection; returns the delay of the reconnect, in microseconds. */
     private static long backoffMicrosAfterFailure(WatchState state, long nowMicros) {
         List<WatchState.Reconnect> commands = new ArrayList<>();
         state.handle(
@@ -66,7 +68,7 @@
     }
 
     @Test
-    void aServerThatOnlyRepeatsAnOldRevisionCountsAsSilent() {
+    void serverThatSendsOnlyOldRevisionsIsReconnectedToAsSilent() {
         receiveHeartbeat(3);
         List<String> commands = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -77,18 +79,24 @@
         assertEquals(
                 List.of("reconnect after 3", "reconnect after 3"),
                 commands,
-                "once each time that it was silent for so long");
+                "one reconnect per heartbeat time-out");
         receiveHeartbeat(3);
         nowMicros += 200_000;
-        assertEquals(List.of(), checkHeartbeat(), "it has caught up with what was published");
+        assertEquals(
+                List.of(),
+                checkHeartbeat(),
+                "the server has caught up with the last published revision");
     }
 
     @Test
-    void eachEventIsPublishedOnceAndInOrder() {
+    void eventsArePublishedOnceAndInOrderAndAGapCausesAReconnect() {
         assertEquals(List.of("synchronized", "publish 4"), receiveEvent(4));
-        assertEquals(List.of(), receiveEvent(4), "a duplicate");
-        assertEquals(List.of(), receiveEvent(2), "an old event");
-        assertEquals(List.of("reconnect after 4"), receiveEvent(6), "a gap is not skipped");
+        assertEquals(List.of(), receiveEvent(4), "a duplicate is dropped");
+        assertEquals(List.of(), receiveEvent(2), "an old event is dropped");
+        assertEquals(
+                List.of("reconnect after 4"),
+                receiveEvent(6),
+                "an event after a gap is not published");
         assertEquals(List.of("publish 5"), receiveEvent(5));
         assertEquals(List.of("publish 6"), receiveEvent(6));
         assertEquals(List.of(), receiveHeartbeat(6));
@@ -99,45 +107,51 @@
     }
 
     @Test
-    void aSilentServerIsReconnectedToSoonAfterTwoMissingHeartbeats() {
+    void silentServerIsReconnectedToAfterTwoMissingHeartbeatsButNotAfterOne() {
         assertEquals(List.of("reconnect after 3"), handle(new WatchState.AddressChanged()));
         receiveHeartbeat(3);
         nowMicros += 1_500_000;
         assertEquals(List.of(), checkHeartbeat(), "one heartbeat may be late");
         nowMicros += 500_000;
         assertEquals(List.of("reconnect after 3"), checkHeartbeat());
-        assertEquals(List.of(), checkHeartbeat(), "the new connection has time to be heard");
+        assertEquals(
+                List.of(),
+                checkHeartbeat(),
+                "the heartbeat time-out starts again with the new connection");
         nowMicros += 2_000_000;
         assertEquals(List.of("reconnect after 3"), checkHeartbeat());
     }
 
     @Test
-    void whatWasKnownAtTheStartIsSynchronizedOnceTheServerConfirmsIt() {
+    void synchronizedIsPublishedOnceWhenTheServerConfirmsTheRevisionKnownAtTheStart() {
         assertEquals(List.of("reconnect after 3"), handle(new WatchState.AddressChanged()));
-        assertEquals(List.of(), receiveHeartbeat(2), "the server is behind what is known");
+        assertEquals(
+                List.of(),
+                receiveHeartbeat(2),
+                "the server is behind the revision known at the start");
         assertEquals(
                 List.of("reconnect after 3"),
                 receiveHeartbeat(4),
                 "the server has an event that it did not send");
         assertEquals(List.of("synchronized"), receiveHeartbeat(3));
-        assertEquals(List.of(), receiveHeartbeat(3), "published once");
+        assertEquals(List.of(), receiveHeartbeat(3), "synchronized is published only once");
         assertEquals(List.of("publish 4"), receiveEvent(4));
     }
 
     @Test
-    void aConnectThatTimesOutAndTheBackoffAfterItLeaveHalfOfTheDrainGrace() {
+    void connectTimeoutAndLongestBackoffTogetherTakeHalfOfTheDrainGrace() {
         for (long graceMicros : new long[] {400_000, 1_000_000, 8_000_000}) {
-            WatchState each = new WatchState(KNOWN_REVISION, graceMicros);
+            WatchState stateWithGrace = new WatchState(KNOWN_REVISION, graceMicros);
             long backoffMicros = 0;
             for (int i = 0; i < 20; i++) {
-                backoffMicros = backoffMicrosAfterFailure(each, nowMicros);
+                backoffMicros = backoffMicrosAfterFailure(stateWithGrace, nowMicros);
             }
-            assertEquals(graceMicros / 2, backoffMicros + each.connectTimeoutMicros());
+            assertEquals(graceMicros / 2, backoffMicros + stateWithGrace.connectTimeoutMicros());
         }
     }
 
     @Test
-    void aFailedConnectionIsReplacedAtOnceAndThenWithBackoff() {
+    void firstReconnectHasNoDelayAndLaterOnesBackOffUpToAQuarterOfTheDrainGrace() {
         long longestMicros = 0;
         for (int i = 0; i < 20; i++) {
             long backoffMicros = backoffMicrosAfterFailure(state, nowMicros);
@@ -148,20 +162,23 @@
     }
 
     @Test
-    void eventsThatWereMissingAreFollowedByOneMoreRequestWhichTellsThatNoneIsLeft() {
+    void missingEventsAreFollowedByExactlyOneReconnectForAConfirmation() {
         handle(new WatchState.AddressChanged());
         receiveEvent(4);
         receiveEvent(5);
-        assertEquals(List.of(), checkHeartbeat(), "the others may still come");
+        assertEquals(List.of(), checkHeartbeat(), "further missing events may still arrive");
         nowMicros += 30_000;
         assertEquals(List.of("reconnect after 5"), checkHeartbeat());
         receiveEvent(6);
         nowMicros += 100_000;
-        assertEquals(List.of(), checkHeartbeat(), "once: then the next heartbeat is awaited");
+        assertEquals(
+                List.of(),
+                checkHeartbeat(),
+                "only one reconnect: then the next heartbeat is awaited");
     }
 
     @Test
-    void aSingleEventWhileNothingIsMissingIsFollowedByNoRequest() {
+    void eventOnACurrentListIsFollowedByNoReconnect() {
         handle(new WatchState.AddressChanged());
         receiveHeartbeat(3);
         receiveEvent(4);
