--- a/src/main/java/waytrestle/http/FairByteLimit.java
+++ b/src/main/java/waytrestle/http/FairByteLimit.java
@@ -1,34 +1,47 @@
 package waytrestle.http;
 
 /**
- * Bytes of messages being read on many connections, within one bound. Past it whoever holds more
- * than an equal share must give way, so that a few without end cost the many small ones nothing.
+ * Limits the total number of bytes that incomplete messages on many connections hold. At the limit
+ * only a connection that would hold more than an equal share of the limit is refused more bytes.
+ * Guards against a few endless messages that fill the limit and make the many small ones fail.
+ *
+ * <p>Not thread-safe.
  */
 public final class FairByteLimit {
-    private final long most;
-    private long used;
-    private int holders;
+    private final long maxBytes;
+    private long usedBytes;
+    private int connectionsWithBytes;
 
-    public FairByteLimit(long most) {
-        this.most = most;
+    /** Creates a limit with no bytes reserved. */
+    public FairByteLimit(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Adds to what a holder has; false when it must give way instead. */
-    public boolean tryReserve(long has, long more) {
-        if (used + more > most && has + more > most / Math.max(1, holders)) {
+    /**
+     * Reserves further bytes for one connection.
+     *
+     * @param alreadyReserved bytes that the connection has reserved before
+     * @param additional bytes to reserve now
+     * @return false if the bytes are not reserved and the connection's message must be given up
+     */
+    public boolean tryReserve(long alreadyReserved, long additional) {
+        if (usedBytes + additional > maxBytes
+                && alreadyReserved + additional > maxBytes / Math.max(1, connectionsWithBytes)) {
             return false;
         }
-        used += more;
-        holders += has == 0 ? 1 : 0;
+        usedBytes += additional;
+        connectionsWithBytes += alreadyReserved == 0 ? 1 : 0;
         return true;
     }
 
-    public void release(long has) {
-        used -= has;
-        holders -= has > 0 ? 1 : 0;
+    /** Releases all bytes that one connection has reserved. */
+    public void release(long reserved) {
+        usedBytes -= reserved;
+        connectionsWithBytes -= reserved > 0 ? 1 : 0;
     }
 
+    /** Returns the number of bytes reserved by all connections together. */
     public long usedBytes() {
-        return used;
+        return usedBytes;
     }
 }
--- a/src/main/java/waytrestle/http/HttpClient.java
+++ b/src/main/java/waytrestle/http/HttpClient.java
@@ -18,124 +18,126 @@
 import waytrestle.net.TimerHeap;
 
 /**
- * Requests to one peer over a bounded pool of kept connections, one request at a time on each. It
- * reports how an exchange ended in terms of what was on the wire; what that proves is for the
- * caller to say.
+ * Sends requests to one peer over a limited pool of keep-alive connections, one request at a time
+ * on each. It reports how an exchange failed by what was seen on its connection; whether the peer
+ * can have processed the request is for the caller to conclude.
  *
- * <p>Not thread-safe: used by its loop alone.
+ * <p>Times are in microseconds of {@link Loop#now}. Not thread-safe: used by its event loop.
  */
 public final class HttpClient {
-    /** Connections begun for one request: so many resets in a row tell of the server. */
-    private static final int MAX_CONNECTIONS_PER_CALL = 3;
+    /** Connections tried for one request; more resets in a row are a fault of the peer. */
+    private static final int MAX_CONNECTION_ATTEMPTS_PER_CALL = 3;
 
     private final Loop loop;
     private final InetSocketAddress peer;
     private final HttpLimits limits;
     private final int maxConnections;
-    private final long connectMicros;
-    private final long idleMicros;
-    private final FairByteLimit held;
+    private final long connectTimeoutMicros;
+    private final long idleTimeoutMicros;
+    private final FairByteLimit incompleteResponses;
 
-    /** The last used at the end. */
+    /** Idle connections, the most recently used one last. */
     private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
 
-    /** In the order in which they were begun. */
+    /** All open or connecting connections, in the order in which they were started. */
     private final Set<PooledConnection> connections = new LinkedHashSet<>();
 
     private final PeerEndDetector peerEnd = new PeerEndDetector();
-    private ConnectionLimit slots = new ConnectionLimit(Integer.MAX_VALUE);
-    private Runnable onLost = () -> {};
-    private long stallMicros = Long.MAX_VALUE;
-    private long restMicros;
+    private ConnectionLimit connectionLimit = new ConnectionLimit(Integer.MAX_VALUE);
+    private Runnable peerEndListener = () -> {};
+    private long responseStallMicros = Long.MAX_VALUE;
+    private long reuseDelayMicros;
     private long strayResponses;
     private boolean closed;
 
     /**
      * Creates a client without any connection.
      *
-     * @param maxConnections to the peer, idle ones included
-     * @param connectMicros for a connection to come up
-     * @param idleMicros for which an idle connection is kept
-     * @param held the bytes that incomplete responses of this and other clients may hold
+     * @param maxConnections most connections to the peer, idle ones included
+     * @param connectTimeoutMicros longest time to establish a connection
+     * @param idleTimeoutMicros time after which an idle connection is closed
+     * @param incompleteResponses limit on the bytes of incomplete responses, of all its clients
      */
     public HttpClient(
             Loop loop,
             InetSocketAddress peer,
             HttpLimits limits,
             int maxConnections,
-            long connectMicros,
-            long idleMicros,
-            FairByteLimit held) {
-        this.held = held;
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
+            FairByteLimit incompleteResponses) {
+        this.incompleteResponses = incompleteResponses;
         this.loop = loop;
         this.peer = peer;
         this.limits = limits;
         this.maxConnections = maxConnections;
-        this.connectMicros = connectMicros;
-        this.idleMicros = idleMicros;
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.idleTimeoutMicros = idleTimeoutMicros;
     }
 
-    /** Hears that all connections, kept ones used lately among them, were closed by the peer. */
+    /**
+     * Sets a listener that runs on the event loop when the peer's process appears to have ended.
+     */
     public HttpClient withPeerEndListener(Runnable listener) {
-        onLost = listener;
+        peerEndListener = listener;
         return this;
     }
 
-    /** Answers of which some came and then nothing for so long are not waited for any more. */
+    /** Sets the longest time without a byte within a response; by default there is no limit. */
     public HttpClient withResponseStallMicros(long micros) {
-        stallMicros = micros;
+        responseStallMicros = micros;
         return this;
     }
 
     /**
-     * A connection is not used again for so long after an answer: of a peer that answers twice the
-     * second answer would pass for that to the next request.
+     * Sets the time from a response to the next request on its connection. Guards against a
+     * duplicate response that would be taken for the response to the next request.
      */
     public HttpClient withReuseDelayMicros(long micros) {
-        restMicros = micros;
+        reuseDelayMicros = micros;
         return this;
     }
 
-    /** Shares a bound on connections with other clients. */
+    /** Sets a connection limit shared with other clients, besides {@code maxConnections}. */
     public HttpClient withConnectionLimit(ConnectionLimit shared) {
-        slots = shared;
+        connectionLimit = shared;
         return this;
     }
 
-    /** Open connections, idle ones and those that are coming up included. */
+    /** Returns the number of connections, including idle ones and ones being established. */
     public int openConnections() {
         return connections.size();
     }
 
-    /** When the oldest open connection came up; {@link Long#MAX_VALUE} without one. */
+    /**
+     * Returns when the oldest connection was established, or {@link Long#MAX_VALUE} without one.
+     */
     public long oldestConnectedAtMicros() {
         for (PooledConnection connection : connections) {
-            if (connection.isUp) {
-                return connection.upSince;
+            if (connection.isConnected) {
+                return connection.connectedAtMicros;
             }
         }
         return Long.MAX_VALUE;
     }
 
-    /** Idle connections. */
+    /** Returns the number of idle connections. */
     public int idleConnections() {
         return idle.size();
     }
 
-    /**
-     * How often bytes came on a connection with no request out: a second answer, or part of one.
-     */
+    /** Returns how often bytes such as a duplicate response arrived without a request in flight. */
     public long strayResponses() {
         return strayResponses;
     }
 
-    /** Reads responses that have come already, where the loop has been busy elsewhere for long. */
+    /** Reads responses that the kernel holds already, if the event loop is behind. */
     public void pollIfBehind() {
         if (!loop.isBehind()) {
             return;
         }
         for (PooledConnection connection : List.copyOf(connections)) {
-            if (connection.isUp && connection.call != null) {
+            if (connection.isConnected && connection.call != null) {
                 connection.transport.pollIfBehind();
             }
         }
@@ -144,17 +146,17 @@
     /** Closes the connections that are idle now. */
     public void closeIdle() {
         while (!idle.isEmpty()) {
-            idle.poll().drop();
+            idle.poll().closeAndRelease();
         }
     }
 
-    /** Closes idle connections now and every other one when its exchange ends. */
+    /** Closes idle connections now and every other connection when its exchange ends. */
     public void close() {
         closed = true;
         closeIdle();
     }
 
-    /** A request under way. */
+    /** A request in flight or waiting for its connection. */
     public final class Call {
         private final OutgoingRequest request;
         private final ResponseHandler handler;
@@ -162,7 +164,7 @@
         private PooledConnection connection;
         private TimerHeap.Timer deadline;
         private boolean hasEnded;
-        private int connectionsBegun;
+        private int connectionAttempts;
 
         private Call(ByteBuffer[] request, Withdrawal withdrawal, ResponseHandler handler) {
             this.request = new OutgoingRequest(request);
@@ -170,21 +172,21 @@
             this.handler = handler;
         }
 
-        /** Whether it is not to be written any more, and has ended by that. */
-        private boolean withdrawn() {
-            ExchangeFailure how = hasEnded ? null : withdrawal.failureIfWithdrawn();
-            if (how != null) {
-                end(how, "withdrawn before it was sent");
+        /** Ends the call if its request was withdrawn; returns whether the call has ended. */
+        private boolean endIfWithdrawn() {
+            ExchangeFailure failure = hasEnded ? null : withdrawal.failureIfWithdrawn();
+            if (failure != null) {
+                fail(failure, "the request was withdrawn before it was sent");
             }
             return hasEnded;
         }
 
-        /** Ends it as cancelled and closes its connection, which is how the peer learns of it. */
+        /** Cancels the call and resets its connection, which tells the peer. */
         public void cancel() {
-            end(ExchangeFailure.CANCELLED, "cancelled");
+            fail(ExchangeFailure.CANCELLED, "cancelled");
         }
 
-        private void end(ExchangeFailure how, String why) {
+        private void fail(ExchangeFailure failure, String detail) {
             if (hasEnded) {
                 return;
             }
@@ -194,10 +196,10 @@
                 connection.call = null;
                 connection.reset();
             }
-            loop.after(0, () -> handler.exchangeFailed(how, why));
+            loop.after(0, () -> handler.exchangeFailed(failure, detail));
         }
 
-        private void answered(HttpMessage message) {
+        private void complete(HttpMessage message) {
             hasEnded = true;
             deadline.cancel();
             connection = null;
@@ -205,67 +207,72 @@
         }
     }
 
-    /** Sends a request; the head and body are handed over. */
-    public Call call(long withinMicros, ResponseHandler handler, ByteBuffer... request) {
-        return call(withinMicros, () -> null, handler, request);
+    /** Sends a request that cannot be withdrawn; the parameters are those of the overload. */
+    public Call call(long timeoutMicros, ResponseHandler handler, ByteBuffer... request) {
+        return call(timeoutMicros, () -> null, handler, request);
     }
 
     /**
-     * The same; until its first byte is written it may be withdrawn, however late a connection
-     * comes up.
+     * Sends a request that the caller may withdraw until its first byte is written, however late a
+     * connection is established.
+     *
+     * @param timeoutMicros time after which the exchange fails without a complete response
+     * @param withdrawal tells right before the request is written whether it is withdrawn
+     * @param request the bytes of the head and body; the caller must not change them any more
      */
     public Call call(
-            long withinMicros,
+            long timeoutMicros,
             Withdrawal withdrawal,
             ResponseHandler handler,
             ByteBuffer... request) {
         Call call = new Call(request, withdrawal, handler);
         call.deadline =
                 loop.after(
-                        withinMicros, () -> call.end(ExchangeFailure.TIMEOUT, "no answer in time"));
-        PooledConnection connection = takeIdle();
-        // Asked behind the looks at idle connections, which take time: right before it is written.
-        if (call.withdrawn()) {
-            giveBack(connection);
+                        timeoutMicros,
+                        () -> call.fail(ExchangeFailure.TIMEOUT, "no response in time"));
+        PooledConnection connection = takeReusableConnection();
+        // Checked after polling idle connections, which takes time: right before the write.
+        if (call.endIfWithdrawn()) {
+            returnUnused(connection);
         } else if (connection == null) {
             openConnectionFor(call);
         } else {
             connection.idleTimer.cancel();
-            slots.removeIdle(connection);
-            connection.begin(call);
+            connectionLimit.removeIdle(connection);
+            connection.assign(call);
         }
         return call;
     }
 
-    /** Returns a connection, if any, that was taken and not used. */
-    private void giveBack(PooledConnection connection) {
+    /** Puts a connection that was taken and not used, or null, back to the idle ones. */
+    private void returnUnused(PooledConnection connection) {
         if (connection == null) {
             return;
         }
         if (closed) {
-            connection.drop();
+            connection.closeAndRelease();
         } else {
             idle.add(connection);
         }
     }
 
     /**
-     * The last used that has rested is the least likely to have been closed by the peer; null
-     * without one.
+     * Takes the most recently used idle connection whose reuse delay has passed, which the peer is
+     * least likely to have closed. Returns null without one.
      */
-    private PooledConnection takeIdle() {
+    private PooledConnection takeReusableConnection() {
         long now = Loop.now();
         for (Iterator<PooledConnection> all = idle.descendingIterator(); all.hasNext(); ) {
             PooledConnection candidate = all.next();
-            if (now - candidate.usedAt < restMicros) {
+            if (now - candidate.lastUsedAtMicros < reuseDelayMicros) {
                 continue;
             }
             IdleState state = candidate.transport.idle();
             if (state == IdleState.UNKNOWN) {
-                continue; // the look failed: it stays idle, and is looked at the next time
+                continue; // polling failed: the connection stays idle for a later call
             }
             all.remove();
-            if (candidate.isUsable(state)) {
+            if (candidate.checkReusable(state)) {
                 return candidate;
             }
         }
@@ -273,63 +280,61 @@
     }
 
     private void openConnectionFor(Call call) {
-        if (openConnections() >= maxConnections || !slots.tryAcquire()) {
-            call.end(
-                    ExchangeFailure.NO_ROOM,
-                    "all connections that may be made to the invoker are in use");
+        if (openConnections() >= maxConnections || !connectionLimit.tryAcquire()) {
+            call.fail(ExchangeFailure.NO_ROOM, "all connections allowed to the peer are in use");
             return;
         }
         PooledConnection connection = new PooledConnection();
         connection.transport =
-                Connection.open(loop, peer, limits.bodyBytes(), connectMicros, connection);
+                Connection.open(loop, peer, limits.bodyBytes(), connectTimeoutMicros, connection);
         connections.add(connection);
-        call.connectionsBegun++;
-        connection.begin(call);
+        call.connectionAttempts++;
+        connection.assign(call);
     }
 
     private void openAnotherConnectionFor(Call call) {
-        if (!call.withdrawn()) {
+        if (!call.endIfWithdrawn()) {
             openConnectionFor(call);
         }
     }
 
-    /** A connection to the peer, with at most one request at a time. */
+    /** A pooled connection to the peer, with at most one request at a time. */
     private final class PooledConnection implements ConnectionHandler {
-        private final ResponseReader responses = new ResponseReader(limits, held);
+        private final ResponseReader responses = new ResponseReader(limits, incompleteResponses);
         private Connection transport;
-        private Call call;
+        private Call call; // null while the connection is idle
         private TimerHeap.Timer idleTimer;
         private TimerHeap.Timer stallTimer;
-        private boolean isUp;
-        private boolean isDropped;
-        private long usedAt;
-        private long upSince;
-        private long writtenBefore;
-
-        /** Whether an idle one may be used again; if not it is dropped. */
-        private boolean isUsable(IdleState state) {
+        private boolean isConnected;
+        private boolean isReleased;
+        private long lastUsedAtMicros;
+        private long connectedAtMicros;
+        private long writtenBytesBeforeRequest;
+
+        /** Returns whether an idle connection can be reused, after closing it if not. */
+        private boolean checkReusable(IdleState state) {
             if (state == IdleState.SPOKE) {
                 strayResponses++;
-                drop();
+                closeAndRelease();
             } else if (state == IdleState.ENDED) {
                 closed(null);
             }
             return state == IdleState.FIT;
         }
 
-        private void begin(Call next) {
+        private void assign(Call next) {
             call = next;
             next.connection = this;
-            if (isUp) {
-                write();
+            if (isConnected) {
+                writeRequest();
             }
         }
 
-        private void write() {
-            writtenBefore = transport.written();
+        private void writeRequest() {
+            writtenBytesBeforeRequest = transport.written();
             ByteBuffer[] request = call.request.bytes();
             Call writing = call;
-            if (!writing.withdrawal.isOutdated() || !writing.withdrawn()) {
+            if (!writing.withdrawal.isOutdated() || !writing.endIfWithdrawn()) {
                 transport.send(request);
                 writing.withdrawal.requestWritten();
             }
@@ -337,11 +342,11 @@
 
         @Override
         public void connected() {
-            isUp = true;
-            upSince = Loop.now();
-            // It may have come up late: what it was made for may have been withdrawn meanwhile.
-            if (call != null && !call.withdrawn()) {
-                write();
+            isConnected = true;
+            connectedAtMicros = Loop.now();
+            // While the connection was established, the caller may have withdrawn the request.
+            if (call != null && !call.endIfWithdrawn()) {
+                writeRequest();
             }
         }
 
@@ -351,50 +356,50 @@
             try {
                 HttpMessage message = responses.next(in, call != null);
                 if (message == null) {
-                    awaitRest();
+                    startStallTimer();
                 } else {
-                    completed(message, in.hasRemaining());
+                    responseCompleted(message, in.hasRemaining());
                 }
             } catch (HttpError e) {
                 fail(ExchangeFailure.MALFORMED, e.getMessage());
             }
         }
 
-        private void awaitRest() {
-            if (stallMicros < Long.MAX_VALUE) {
-                stallTimer = loop.after(stallMicros, this::stalled);
+        private void startStallTimer() {
+            if (responseStallMicros < Long.MAX_VALUE) {
+                stallTimer = loop.after(responseStallMicros, this::failStalledResponse);
             }
         }
 
-        private void stalled() {
-            fail(ExchangeFailure.MALFORMED, "the answer stopped short");
+        private void failStalledResponse() {
+            fail(ExchangeFailure.MALFORMED, "the response stopped before its end");
         }
 
-        private void completed(HttpMessage message, boolean moreFollows) {
-            Call answered = call;
-            if (answered == null) {
+        private void responseCompleted(HttpMessage message, boolean moreFollows) {
+            Call completed = call;
+            if (completed == null) {
                 strayResponses++;
-                drop();
+                closeAndRelease();
                 return;
             }
             strayResponses += moreFollows ? 1 : 0;
             call = null;
-            // A second response must not reach the connection's next request.
+            // A duplicate response must not be taken for the response to the next request.
             boolean reusable =
                     !closed && !moreFollows && message.keepsAlive() && transport.pending() == 0;
             if (reusable) {
                 becomeIdle();
             } else {
-                drop();
+                closeAndRelease();
             }
-            answered.answered(message);
+            completed.complete(message);
         }
 
         private void becomeIdle() {
-            usedAt = Loop.now();
-            idleTimer = loop.after(idleMicros, this::drop);
+            lastUsedAtMicros = Loop.now();
+            idleTimer = loop.after(idleTimeoutMicros, this::closeAndRelease);
             idle.add(this);
-            slots.addIdle(this, this::drop);
+            connectionLimit.addIdle(this, this::closeAndRelease);
         }
 
         private void cancelStallTimer() {
@@ -404,85 +409,85 @@
             }
         }
 
-        private void fail(ExchangeFailure how, String why) {
-            Call broken = call;
-            if (broken != null) {
-                broken.end(how, why);
+        private void fail(ExchangeFailure failure, String detail) {
+            Call failed = call;
+            if (failed != null) {
+                failed.fail(failure, detail);
             } else {
-                drop();
+                closeAndRelease();
             }
         }
 
         @Override
-        public void closed(IOException why) {
-            HttpMessage complete = responses.finishAtClose();
-            Call broken = call;
-            boolean wasIdle = broken == null && !isDropped;
-            drop();
-            noteClose(wasIdle);
-            if (broken == null) {
+        public void closed(IOException cause) {
+            HttpMessage response = responses.finishAtClose();
+            Call interrupted = call;
+            boolean wasIdle = interrupted == null && !isReleased;
+            closeAndRelease();
+            reportPeerEnd(wasIdle);
+            if (interrupted == null) {
                 return;
             }
-            if (complete != null) {
+            if (response != null) {
                 call = null;
-                broken.answered(complete);
-            } else if (why instanceof NoSocketException) {
-                // Nothing was sent, and nobody refused: it tells of this connection alone.
-                broken.end(ExchangeFailure.NO_ROOM, why.getMessage());
-            } else if (mayBeSentAgain(broken, why)) {
-                broken.connection = null;
-                loop.after(0, () -> openAnotherConnectionFor(broken));
+                interrupted.complete(response);
+            } else if (cause instanceof NoSocketException) {
+                // No connection was tried, so the failure says nothing about the peer.
+                interrupted.fail(ExchangeFailure.NO_ROOM, cause.getMessage());
+            } else if (mayRetryOnNewConnection(interrupted, cause)) {
+                interrupted.connection = null;
+                loop.after(0, () -> openAnotherConnectionFor(interrupted));
             } else {
-                broken.end(
-                        howItBroke(),
-                        why == null ? "the peer closed" : String.valueOf(why.getMessage()));
+                interrupted.fail(
+                        failureByProgress(),
+                        cause == null ? "the peer closed" : String.valueOf(cause.getMessage()));
             }
         }
 
-        private void noteClose(boolean wasIdle) {
+        private void reportPeerEnd(boolean wasIdle) {
             if (wasIdle) {
-                peerEnd.idleConnectionClosed(Loop.now(), usedAt);
+                peerEnd.idleConnectionClosed(Loop.now(), lastUsedAtMicros);
             }
             if (connections.isEmpty() && !closed && peerEnd.consumeProcessEnd(Loop.now())) {
-                loop.after(0, onLost);
+                loop.after(0, peerEndListener);
             }
         }
 
-        private ExchangeFailure howItBroke() {
-            if (!isUp) {
+        private ExchangeFailure failureByProgress() {
+            if (!isConnected) {
                 return ExchangeFailure.NO_CONNECTION;
             }
-            boolean nothingWritten = transport.written() == writtenBefore;
+            boolean nothingWritten = transport.written() == writtenBytesBeforeRequest;
             return nothingWritten
                     ? ExchangeFailure.BEFORE_FIRST_BYTE
                     : ExchangeFailure.AFTER_FIRST_BYTE;
         }
 
-        /** Nothing of it was written, and nobody has refused the connection. */
-        private boolean mayBeSentAgain(Call broken, IOException why) {
+        /** Returns whether no byte was written, no connection refused and an attempt is left. */
+        private boolean mayRetryOnNewConnection(Call interrupted, IOException cause) {
             boolean refused =
-                    why instanceof ConnectException || why instanceof SocketTimeoutException;
-            return howItBroke() != ExchangeFailure.AFTER_FIRST_BYTE
+                    cause instanceof ConnectException || cause instanceof SocketTimeoutException;
+            return failureByProgress() != ExchangeFailure.AFTER_FIRST_BYTE
                     && !refused
                     && !closed
-                    && broken.connectionsBegun < MAX_CONNECTIONS_PER_CALL;
+                    && interrupted.connectionAttempts < MAX_CONNECTION_ATTEMPTS_PER_CALL;
         }
 
         private void reset() {
             transport.reset();
-            drop();
+            closeAndRelease();
         }
 
-        private void drop() {
-            if (isDropped) {
+        private void closeAndRelease() {
+            if (isReleased) {
                 return;
             }
-            isDropped = true;
+            isReleased = true;
             cancelStallTimer();
             responses.release();
             connections.remove(this);
-            slots.release();
-            slots.removeIdle(this);
+            connectionLimit.release();
+            connectionLimit.removeIdle(this);
             idle.remove(this);
             if (idleTimer != null) {
                 idleTimer.cancel();
--- a/src/main/java/waytrestle/http/HttpParser.java
+++ b/src/main/java/waytrestle/http/HttpParser.java
@@ -9,159 +9,196 @@
 import waytrestle.Bytes;
 
 /**
- * An incremental parser of HTTP/1.1 messages (RFC 9112): any split of the bytes gives the same
- * messages. Strict where two readers could disagree about where a message ends (request smuggling):
- * a line ends by CR LF alone, no space before a colon, one way of giving the length, plain
- * hexadecimal chunk sizes. Trailers are read and dropped.
+ * An incremental parser of HTTP/1.1 messages (RFC 9112): any split of the bytes into buffers gives
+ * the same messages. The parser is strict where two parsers could disagree about where a message
+ * ends (request smuggling): a line ends only with CR LF, no space stands before a colon, the length
+ * is given in one way only, and a chunk size is plain hexadecimal. Trailers are read and discarded.
+ *
+ * <p>After an {@link HttpError} the parser must not be used any more. Not thread-safe.
  */
 public final class HttpParser {
     private enum State {
-        START,
+        START_LINE,
         HEADER,
-        FIXED,
+        FIXED_LENGTH_BODY,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILER,
-        UNTIL_CLOSE,
+        BODY_UNTIL_CLOSE,
         DONE
     }
 
-    private static final int FIRST =
-            16 * 1024; // bytes first set aside for a body: a claim alone takes no memory
-    private static final int SEGMENT =
-            64 * 1024; // bytes of each further part: nothing is copied as a body grows
-    private static final int CHUNK_LINE = 256; // bytes of a chunk's size line, extensions included
-    private static final int CHUNK_DIGITS = 8;
+    /**
+     * Size of the first buffer of a body. Small, and allocated only when body bytes arrive, so that
+     * an announced length alone takes no memory.
+     */
+    private static final int FIRST_SEGMENT_BYTES = 16 * 1024;
+
+    /** Size of each further buffer of a body, which is added instead of copying the former ones. */
+    private static final int SEGMENT_BYTES = 64 * 1024;
+
+    /** Longest size line of a chunk, extensions included. */
+    private static final int MAX_CHUNK_LINE_BYTES = 256;
+
+    /** Most hexadecimal digits of a chunk size. */
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
 
-    private final boolean requests;
-    private boolean stopAtBody;
+    private final boolean parsesRequests;
+    private boolean stopsAtBody;
     private final HttpLimits limits;
+
+    /** The current line without its line end; the first {@code lineLength} bytes count. */
     private byte[] line = new byte[256];
+
     private int lineLength;
-    private boolean cr;
-    private State state = State.START;
+
+    /** Whether the last byte of the current line was a CR. */
+    private boolean seenCr;
+
+    private State state = State.START_LINE;
     private HttpMessage message;
-    private int headerBytes, bodyLength, blankLines;
-    private long left;
+    private int headerBytes, bodyBytes, blankLines;
+
+    /** Bytes still to come of the body or chunk. */
+    private long remainingBytes;
+
+    /** The body read so far; only the last segment may be partly filled. */
     private List<byte[]> segments = new ArrayList<>(1);
-    private int filled; // bytes of the last segment
 
-    private HttpParser(boolean requests, HttpLimits limits) {
-        this.requests = requests;
+    /** Bytes filled in the last segment. */
+    private int lastSegmentBytes;
+
+    private HttpParser(boolean parsesRequests, HttpLimits limits) {
+        this.parsesRequests = parsesRequests;
         this.limits = limits;
     }
 
+    /** Returns a parser of requests, which throws errors with the statuses of a server. */
     public static HttpParser requests(HttpLimits limits) {
         return new HttpParser(true, limits);
     }
 
+    /** Returns a parser of responses. */
     public static HttpParser responses(HttpLimits limits) {
         return new HttpParser(false, limits);
     }
 
     /**
-     * Makes {@link #next} return once after each head that a body follows, with the body unread.
+     * Makes {@link #next} return null once after each head that a body follows, with the body
+     * unread.
      */
     public HttpParser stopAtBody() {
-        stopAtBody = true;
+        stopsAtBody = true;
         return this;
     }
 
-    /** Bytes of the body that the head under way announces; -1 where chunks will tell. */
+    /**
+     * Returns the bytes still to come of a body with a Content-Length, -1 for any other message.
+     */
     public long remainingContentLength() {
-        return state == State.FIXED ? left : -1;
+        return state == State.FIXED_LENGTH_BODY ? remainingBytes : -1;
     }
 
-    /** True between messages, with nothing of the next one read. */
+    /** Returns whether no byte of the next message has been read. */
     public boolean isBetweenMessages() {
-        return state == State.START && lineLength == 0 && !cr;
+        return state == State.START_LINE && lineLength == 0 && !seenCr;
     }
 
-    /** True once the head of the message under way is complete. */
+    /** Returns whether the head of the current message is complete and its body is not. */
     public boolean isReadingBody() {
         return state.ordinal() > State.HEADER.ordinal() && state != State.DONE;
     }
 
-    /** The message under way, with its head complete when {@link #isReadingBody}. */
+    /**
+     * Returns the incomplete message being read, null before its first line is complete. Its head
+     * is complete if {@link #isReadingBody}.
+     */
     public HttpMessage currentMessage() {
         return message;
     }
 
     /**
-     * A whole message once there is one, else null with the buffer used up. Throws {@link
-     * HttpError}.
+     * Reads bytes up to the end of a message.
+     *
+     * @return the complete message, whose following bytes remain in the buffer; null if the message
+     *     is incomplete, with the whole buffer read except after {@link #stopAtBody}
+     * @throws HttpError if the message is malformed or exceeds a limit
      */
     public HttpMessage next(ByteBuffer in) {
         while (in.hasRemaining() && state != State.DONE) {
             switch (state) {
-                case FIXED, CHUNK -> take(in);
-                case UNTIL_CLOSE -> {
-                    left = Math.min(in.remaining(), (long) limits.bodyBytes() - bodyLength);
-                    if (left == 0) {
+                case FIXED_LENGTH_BODY, CHUNK_DATA -> readBody(in);
+                case BODY_UNTIL_CLOSE -> {
+                    remainingBytes =
+                            Math.min(in.remaining(), (long) limits.bodyBytes() - bodyBytes);
+                    if (remainingBytes == 0) {
                         throw new HttpError(413, "body is over " + limits.bodyBytes() + " bytes");
                     }
-                    append(in, (int) left);
+                    appendBody(in, (int) remainingBytes);
                 }
                 default -> {
-                    boolean head = state == State.HEADER;
-                    if (line(in)) {
-                        endOfLine();
-                        if (stopAtBody && head && isReadingBody()) {
+                    boolean inHead = state == State.HEADER;
+                    if (readLine(in)) {
+                        processLine();
+                        if (stopsAtBody && inHead && isReadingBody()) {
                             return null;
                         }
                     }
                 }
             }
         }
-        return state == State.DONE ? finish() : null;
+        return state == State.DONE ? finishMessage() : null;
     }
 
-    /** The peer closed: the message that only a close ends, or null. */
+    /**
+     * Returns the message that the close of the connection completes: a response without a length
+     * and without chunks. Returns null if there is none.
+     */
     public HttpMessage finishAtClose() {
-        return state == State.UNTIL_CLOSE ? finish() : null;
+        return state == State.BODY_UNTIL_CLOSE ? finishMessage() : null;
     }
 
-    private HttpMessage finish() {
-        HttpMessage done = message;
-        done.content = Bytes.of(segments, filled);
+    private HttpMessage finishMessage() {
+        HttpMessage finished = message;
+        finished.content = Bytes.of(segments, lastSegmentBytes);
         segments = new ArrayList<>(1);
-        filled = 0;
-        bodyLength = headerBytes = blankLines = 0;
+        lastSegmentBytes = 0;
+        bodyBytes = headerBytes = blankLines = 0;
         message = null;
-        state = State.START;
-        return done;
+        state = State.START_LINE;
+        return finished;
     }
 
-    /** Adds bytes to the line under way; true at its end. */
-    private boolean line(ByteBuffer in) {
-        int most =
+    /** Reads bytes of the current line; returns true at the end of the line. */
+    private boolean readLine(ByteBuffer in) {
+        int maxLineBytes =
                 switch (state) {
-                    case START -> limits.startLineBytes();
-                    case CHUNK_SIZE, CHUNK_END -> CHUNK_LINE;
+                    case START_LINE -> limits.startLineBytes();
+                    case CHUNK_SIZE, CHUNK_END -> MAX_CHUNK_LINE_BYTES;
                     default -> limits.headerBytes() - headerBytes;
                 };
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                if (!cr) {
+                if (!seenCr) {
                     throw new HttpError(400, "a line ends without CR");
                 }
-                cr = false;
+                seenCr = false;
                 return true;
             }
-            if (cr) {
+            if (seenCr) {
                 throw new HttpError(400, "a CR stands alone");
             }
             if (b == '\r') {
-                cr = true;
+                seenCr = true;
                 continue;
             }
             if (b == 0 || (b > 0 && b < ' ' && b != '\t') || b == 127) {
                 throw new HttpError(400, "a control character stands in the head");
             }
-            if (lineLength >= most) {
-                throw tooLong();
+            if (lineLength >= maxLineBytes) {
+                throw lineTooLong();
             }
             if (lineLength == line.length) {
                 line = Arrays.copyOf(line, line.length * 2);
@@ -171,47 +208,50 @@
         return false;
     }
 
-    private HttpError tooLong() {
+    /** Returns the error for a line or a header section that exceeds its limit. */
+    private HttpError lineTooLong() {
         return switch (state) {
-            case START ->
+            case START_LINE ->
                     new HttpError(
-                            requests ? 414 : 502,
+                            parsesRequests ? 414 : 502,
                             "the first line is over " + limits.startLineBytes() + " bytes");
             case CHUNK_SIZE, CHUNK_END ->
-                    new HttpError(400, "a chunk's size line is over " + CHUNK_LINE + " bytes");
+                    new HttpError(
+                            400, "a chunk's size line is over " + MAX_CHUNK_LINE_BYTES + " bytes");
             default -> new HttpError(431, "headers are over " + limits.headerBytes() + " bytes");
         };
     }
 
-    private void endOfLine() {
+    /** Processes the complete current line by the state that it was read in. */
+    private void processLine() {
         int length = lineLength;
         lineLength = 0;
         switch (state) {
-            case START -> {
+            case START_LINE -> {
                 if (length == 0) {
-                    if (!requests || ++blankLines > 2) {
+                    if (!parsesRequests || ++blankLines > 2) {
                         throw new HttpError(
                                 400, "a blank line stands where a message should begin");
                     }
                     return;
                 }
                 message = new HttpMessage();
-                if (requests) {
-                    requestLine(length);
+                if (parsesRequests) {
+                    parseRequestLine(length);
                 } else {
-                    statusLine(length);
+                    parseStatusLine(length);
                 }
                 state = State.HEADER;
             }
             case HEADER -> {
                 headerBytes += length + 2;
                 if (length == 0) {
-                    endOfHead();
+                    processHeadEnd();
                 } else {
-                    header(length);
+                    parseHeader(length);
                 }
             }
-            case CHUNK_SIZE -> chunkSize(length);
+            case CHUNK_SIZE -> parseChunkSize(length);
             case CHUNK_END -> {
                 if (length != 0) {
                     throw new HttpError(400, "a chunk is longer than its size");
@@ -227,21 +267,23 @@
         }
     }
 
-    private String text(int from, int to) {
+    private String lineText(int from, int to) {
         return new String(line, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    private void requestLine(int length) {
-        String text = text(0, length);
-        int first = text.indexOf(' ');
-        int last = text.lastIndexOf(' ');
-        if (first <= 0 || last <= first + 1 || text.indexOf(' ', first + 1) != last) {
+    private void parseRequestLine(int length) {
+        String text = lineText(0, length);
+        int firstSpace = text.indexOf(' ');
+        int lastSpace = text.lastIndexOf(' ');
+        if (firstSpace <= 0
+                || lastSpace <= firstSpace + 1
+                || text.indexOf(' ', firstSpace + 1) != lastSpace) {
             throw new HttpError(400, "the request line is not METHOD TARGET VERSION");
         }
-        message.method = text.substring(0, first);
-        message.target = text.substring(first + 1, last);
-        for (int i = 0; i < first; i++) {
-            if (!token(message.method.charAt(i))) {
+        message.method = text.substring(0, firstSpace);
+        message.target = text.substring(firstSpace + 1, lastSpace);
+        for (int i = 0; i < firstSpace; i++) {
+            if (!isTokenCharacter(message.method.charAt(i))) {
                 throw new HttpError(400, "the method is not a token");
             }
         }
@@ -250,17 +292,17 @@
                 throw new HttpError(400, "the target holds a character that must be encoded");
             }
         }
-        version(text.substring(last + 1));
+        parseVersion(text.substring(lastSpace + 1));
     }
 
-    private void statusLine(int length) {
-        String text = text(0, length);
+    private void parseStatusLine(int length) {
+        String text = lineText(0, length);
         if (text.length() < 12
                 || text.charAt(8) != ' '
                 || (text.length() > 12 && text.charAt(12) != ' ')) {
             throw new HttpError(502, "the status line is malformed");
         }
-        version(text.substring(0, 8));
+        parseVersion(text.substring(0, 8));
         int status = 0;
         for (int i = 9; i < 12; i++) {
             int digit = text.charAt(i) - '0';
@@ -276,7 +318,7 @@
         message.reason = text.length() > 13 ? text.substring(13) : "";
     }
 
-    private void version(String text) {
+    private void parseVersion(String text) {
         if (text.equals("HTTP/1.0")) {
             message.http10 = true;
         } else if (!text.equals("HTTP/1.1")) {
@@ -285,7 +327,7 @@
         }
     }
 
-    private void header(int length) {
+    private void parseHeader(int length) {
         if (message.headerNames.size() >= limits.headerCount()) {
             throw new HttpError(431, "there are over " + limits.headerCount() + " headers");
         }
@@ -294,7 +336,7 @@
         }
         int colon = 0;
         while (colon < length && line[colon] != ':') {
-            if (!token((char) (line[colon] & 0xFF))) {
+            if (!isTokenCharacter((char) (line[colon] & 0xFF))) {
                 throw new HttpError(
                         400,
                         line[colon] == ' ' || line[colon] == '\t'
@@ -314,57 +356,60 @@
         while (to > from && (line[to - 1] == ' ' || line[to - 1] == '\t')) {
             to--;
         }
-        message.headerNames.add(text(0, colon).toLowerCase(Locale.ROOT));
-        message.headerValues.add(text(from, to));
+        message.headerNames.add(lineText(0, colon).toLowerCase(Locale.ROOT));
+        message.headerValues.add(lineText(from, to));
     }
 
-    private static boolean token(char c) {
+    private static boolean isTokenCharacter(char c) {
         return c > ' ' && c < 127 && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0;
     }
 
-    private void endOfHead() {
-        HttpMessage m = message;
-        if (requests && (m.http10 ? m.occurrences("host") > 1 : m.occurrences("host") != 1)) {
+    /** Finds out from the complete head where the message ends, and how its body is framed. */
+    private void processHeadEnd() {
+        HttpMessage head = message;
+        if (parsesRequests
+                && (head.http10 ? head.occurrences("host") > 1 : head.occurrences("host") != 1)) {
             throw new HttpError(400, "there must be one Host header");
         }
-        String coding = m.joinedHeader("transfer-encoding");
-        long length = contentLength(m);
+        String coding = head.joinedHeader("transfer-encoding");
+        long length = parseContentLength(head);
         if (coding != null) {
             if (length >= 0) {
                 throw new HttpError(400, "both Content-Length and Transfer-Encoding are given");
             }
-            if (m.http10) {
+            if (head.http10) {
                 throw new HttpError(400, "HTTP/1.0 has no Transfer-Encoding");
             }
             if (!coding.trim().equalsIgnoreCase("chunked")) {
                 throw new HttpError(
-                        requests ? 501 : 502, "the only transfer coding known is chunked");
+                        parsesRequests ? 501 : 502, "the only transfer coding known is chunked");
             }
         }
-        boolean none = !requests && (m.status < 200 || m.status == 204 || m.status == 304);
-        if (none) {
+        boolean neverHasBody =
+                !parsesRequests && (head.status < 200 || head.status == 204 || head.status == 304);
+        if (neverHasBody) {
             state = State.DONE;
         } else if (coding != null) {
             state = State.CHUNK_SIZE;
         } else if (length > 0) {
-            room(length);
-            left = length;
-            state = State.FIXED;
+            checkBodyLimit(length);
+            remainingBytes = length;
+            state = State.FIXED_LENGTH_BODY;
         } else {
-            state = requests || length == 0 ? State.DONE : State.UNTIL_CLOSE;
-            m.endedByClose = state == State.UNTIL_CLOSE;
+            state = parsesRequests || length == 0 ? State.DONE : State.BODY_UNTIL_CLOSE;
+            head.endedByClose = state == State.BODY_UNTIL_CLOSE;
         }
     }
 
-    /** The one length given, -1 without; the same length given twice is that length. */
-    private long contentLength(HttpMessage m) {
+    /** Returns the Content-Length, which may be repeated with the same value; -1 without one. */
+    private long parseContentLength(HttpMessage head) {
         long length = -1;
-        for (int i = 0; i < m.headerNames.size(); i++) {
-            if (!m.headerNames.get(i).equals("content-length")) {
+        for (int i = 0; i < head.headerNames.size(); i++) {
+            if (!head.headerNames.get(i).equals("content-length")) {
                 continue;
             }
-            for (String each : m.headerValues.get(i).split(",", -1)) {
-                String digits = each.trim();
+            for (String element : head.headerValues.get(i).split(",", -1)) {
+                String digits = element.trim();
                 long value = 0;
                 if (digits.isEmpty() || digits.length() > 18) {
                     throw new HttpError(400, "Content-Length is not a number");
@@ -384,19 +429,21 @@
         return length;
     }
 
-    private void room(long more) {
-        if (bodyLength + more > limits.bodyBytes()) {
+    /** Checks that the body stays within its limit with the announced bytes added. */
+    private void checkBodyLimit(long additionalBytes) {
+        if (bodyBytes + additionalBytes > limits.bodyBytes()) {
             throw new HttpError(
-                    requests ? 413 : 502, "the body is over " + limits.bodyBytes() + " bytes");
+                    parsesRequests ? 413 : 502,
+                    "the body is over " + limits.bodyBytes() + " bytes");
         }
     }
 
-    private void chunkSize(int length) {
+    private void parseChunkSize(int length) {
         int digits = 0;
         long size = 0;
         while (digits < length && Character.digit(line[digits], 16) >= 0 && line[digits] > 0) {
             size = size * 16 + Character.digit(line[digits++], 16);
-            if (digits > CHUNK_DIGITS) {
+            if (digits > MAX_CHUNK_SIZE_DIGITS) {
                 throw new HttpError(400, "a chunk's size is too long");
             }
         }
@@ -407,38 +454,39 @@
             state = State.TRAILER;
             return;
         }
-        room(size);
-        left = size;
-        state = State.CHUNK;
+        checkBodyLimit(size);
+        remainingBytes = size;
+        state = State.CHUNK_DATA;
     }
 
-    private void take(ByteBuffer in) {
-        append(in, (int) Math.min(left, in.remaining()));
-        if (left == 0) {
-            state = state == State.FIXED ? State.DONE : State.CHUNK_END;
+    private void readBody(ByteBuffer in) {
+        appendBody(in, (int) Math.min(remainingBytes, in.remaining()));
+        if (remainingBytes == 0) {
+            state = state == State.FIXED_LENGTH_BODY ? State.DONE : State.CHUNK_END;
         }
     }
 
-    private void append(ByteBuffer in, int n) {
-        for (int rest = n; rest > 0; ) {
+    /** Copies bytes of the body into its segments, which are allocated as the bytes arrive. */
+    private void appendBody(ByteBuffer in, int count) {
+        for (int uncopied = count; uncopied > 0; ) {
             byte[] last =
                     segments.isEmpty() ? HttpMessage.NO_BODY : segments.get(segments.size() - 1);
-            if (filled == last.length) {
-                int size = segments.isEmpty() ? FIRST : SEGMENT;
+            if (lastSegmentBytes == last.length) {
+                int size = segments.isEmpty() ? FIRST_SEGMENT_BYTES : SEGMENT_BYTES;
                 last =
                         new byte
-                                [state == State.FIXED
-                                        ? (int) Math.min(size, left - (n - rest))
+                                [state == State.FIXED_LENGTH_BODY
+                                        ? (int) Math.min(size, remainingBytes - (count - uncopied))
                                         : size];
                 segments.add(last);
-                filled = 0;
+                lastSegmentBytes = 0;
             }
-            int some = Math.min(rest, last.length - filled);
-            in.get(last, filled, some);
-            filled += some;
-            rest -= some;
+            int copied = Math.min(uncopied, last.length - lastSegmentBytes);
+            in.get(last, lastSegmentBytes, copied);
+            lastSegmentBytes += copied;
+            uncopied -= copied;
         }
-        bodyLength += n;
-        left -= n;
+        bodyBytes += count;
+        remainingBytes -= count;
     }
 }
--- a/src/main/java/waytrestle/http/HttpServer.java
+++ b/src/main/java/waytrestle/http/HttpServer.java
@@ -19,26 +19,33 @@
 import waytrestle.net.TimerHeap;
 
 /**
- * An HTTP/1.1 server on one loop. Requests of a connection are handled one after another, so
- * pipelined answers come in order and a client cannot pile up work behind one connection; what it
- * sends ahead stays in the connection's bounded buffer and then in the kernel's.
+ * An HTTP/1.1 server on one event loop. The requests of a connection are handled one after another:
+ * pipelined requests are answered in order, and a client has at most one request in flight per
+ * connection. Bytes of later requests stay in the connection's bounded buffer and then in the
+ * kernel's.
+ *
+ * <p>Times are in microseconds of {@link Loop#now}. Not thread-safe: used by its event loop.
  */
 public final class HttpServer {
-    /** Handles a request by answering its exchange once, now or later, on the loop. */
+    /** Handles the requests of a server. All methods are called on the event loop. */
     public interface Handler {
+        /** Handles a complete request by answering its exchange once, now or later. */
         void handle(Exchange exchange);
 
         /**
-         * After the head of a request with a body: an answer status to turn it away by, or 0 to
-         * read on.
+         * Returns whether the body of a request is to be read, from its head alone.
+         *
+         * @return 0 to read the body, otherwise the status by which the request is turned away
          */
         default int checkHead(HttpMessage head) {
             return 0;
         }
 
         /**
-         * The body that tells why a message is not read; its path is null where that was not come
-         * to.
+         * Returns the response to a request that cannot be read.
+         *
+         * @param path the path of the request, null if its first line was not received, empty if
+         *     that line is malformed
          */
         default Refusal refusal(String path, HttpError e) {
             return new Refusal(
@@ -46,144 +53,180 @@
         }
     }
 
-    /** A refusal's content type and body. */
+    /** The content type and body of the response to a request that cannot be read. */
     public record Refusal(String type, byte[] body) {}
 
-    private static final long SILENT =
-            300_000; // micros after which a new connection without a whole request may give
-    // way: those who have something to ask send it at once
+    /**
+     * Age from which a connection without a complete request may be evicted. Clients with a request
+     * send it right after they connect.
+     */
+    private static final long SILENCE_BEFORE_EVICTION_MICROS = 300_000;
+
+    /** Connections polled before an eviction is given up; polling all would take too long. */
+    private static final int MAX_EVICTION_CHECKS = 4;
+
+    /** Time for a client to read a refusal and to stop sending, before its connection is closed. */
+    private static final long REFUSAL_LINGER_MICROS = 2_000_000;
 
-    private static final int LOOKS =
-            4; // connections looked at to make room for one: a few that speak, not all
-    private static final long LINGER =
-            2_000_000; // micros for a client to read a refusal and stop sending
+    /** Phase of a connection between requests, without a running limit on a head or body. */
+    private static final int PHASE_NONE = 0;
+
+    /** Phase of a connection whose time limit on a request head runs. */
+    private static final int PHASE_HEAD = 1;
+
+    /** Phase of a connection whose time limit on a request body runs. */
+    private static final int PHASE_BODY = 2;
 
     private final Loop loop;
     private final HttpLimits limits;
-    private final ServerAdmission door;
+    private final ServerAdmission admission;
     private final Handler handler;
     private final Listener listener;
-    private final Map<Long, Peer> peers = new LinkedHashMap<>();
-    private long accepted;
+
+    /** Open connections by their number, in the order in which they were accepted. */
+    private final Map<Long, ClientConnection> clients = new LinkedHashMap<>();
+
+    private long acceptedConnections;
     private final Map<String, Long> turnedAway = new HashMap<>();
-    private boolean stopping, stoppedTaking, yields, oneAtATime;
-    private long freshMicros = Long.MAX_VALUE;
+    private boolean stopping, stoppedAccepting, evictsIdle, resetsOnFullInput;
+    private long firstRequestMicros = Long.MAX_VALUE;
     private long brokenCloseDelayMicros;
 
+    /**
+     * Creates a server that accepts connections up to a limit.
+     *
+     * @throws IOException if the server cannot listen at the address
+     */
     public HttpServer(
-            Loop loop, InetSocketAddress at, HttpLimits limits, int maxConnections, Handler handler)
+            Loop loop,
+            InetSocketAddress address,
+            HttpLimits limits,
+            int maxConnections,
+            Handler handler)
             throws IOException {
-        this(loop, at, limits, ServerAdmission.withConnectionLimit(maxConnections), handler);
+        this(loop, address, limits, ServerAdmission.withConnectionLimit(maxConnections), handler);
     }
 
+    /**
+     * Creates a server that accepts connections and reads bodies as its admission allows.
+     *
+     * @throws IOException if the server cannot listen at the address
+     */
     public HttpServer(
             Loop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             HttpLimits limits,
-            ServerAdmission door,
+            ServerAdmission admission,
             Handler handler)
             throws IOException {
         this.loop = loop;
         this.limits = limits;
-        this.door = door;
+        this.admission = admission;
         this.handler = handler;
-        this.listener = new Listener(loop, at, 1024, this::accept);
+        this.listener = new Listener(loop, address, 1024, this::accept);
     }
 
     /**
-     * Connections whose first request has not come whole within this time are closed, whatever they
-     * send.
+     * Sets the time from a connection's accept to its first complete request, after which the
+     * connection is closed, whatever it is sending.
      */
     public HttpServer withFirstRequestMicros(long micros) {
-        freshMicros = micros;
+        firstRequestMicros = micros;
         return this;
     }
 
-    /** When all connections are taken, one without a request gives way to a new one. */
+    /**
+     * Lets a new connection replace one without a request in flight when the connection limit is
+     * reached.
+     */
     public HttpServer withIdleEviction() {
-        yields = true;
+        evictsIdle = true;
         return this;
     }
 
     /**
-     * Closes connections that send so much ahead of their answer that the client's going could not
-     * be seen any more.
+     * Resets a connection whose client sends so many bytes ahead of a response that they fill the
+     * connection's buffer. Reading has to stop then, and the server could not detect a disconnect.
      */
     public HttpServer withResetOnFullInput() {
-        oneAtATime = true;
+        resetsOnFullInput = true;
         return this;
     }
 
     /**
-     * A connection that breaks under a request is closed no sooner than so long after the break,
-     * for clients that would take a sooner close for one that crossed their request.
+     * Sets the time by which the close of a connection is delayed if it breaks while a request is
+     * in flight. Guards against clients that take an earlier close for an idle close that crossed
+     * their request, and send the request again.
      */
     public HttpServer withBrokenCloseDelayMicros(long micros) {
         brokenCloseDelayMicros = micros;
         return this;
     }
 
+    /** Returns the port that the server listens at. */
     public int port() {
         return listener.port();
     }
 
+    /** Returns the number of open connections. */
     public int connections() {
-        return peers.size();
+        return clients.size();
     }
 
-    /** How many messages or connections were turned away, by reason. */
+    /** Returns the number of requests and connections turned away or delayed, by reason. */
     public Map<String, Long> turnedAway() {
         return turnedAway;
     }
 
     /**
-     * From now on every answer tells its client to come on another connection; new ones are still
-     * taken.
+     * Makes every later response tell its client to close the connection. New connections are still
+     * accepted.
      */
     public void closeAfterResponses() {
         stopping = true;
     }
 
     /**
-     * Takes no new connections. Those open stay until their next answer, which tells them to close:
-     * a call that is on its way while its idle connection closes would be cut. See {@link
-     * #closeIdle} for those that send nothing more.
+     * Stops accepting connections. Open connections stay until their next response, which ends
+     * them: closing an idle connection could cut off a request that is on its way. {@link
+     * #closeIdle} closes connections without any further request.
      */
     public void stopAccepting() {
         stopping = true;
-        stoppedTaking = true;
+        stoppedAccepting = true;
         listener.takeAndClose();
     }
 
-    /** Closes the connections that have nothing under way, also not in the kernel. */
+    /** Closes the connections without a request in flight, also none in the kernel's buffer. */
     public void closeIdle() {
-        for (Peer peer : List.copyOf(peers.values())) {
-            if (peer.unused()) {
-                peer.end();
+        for (ClientConnection client : List.copyOf(clients.values())) {
+            if (client.isUnused()) {
+                client.close();
             }
         }
     }
 
     /**
-     * Connections with something under way: a message of which pieces have come, a call, an answer
-     * still being taken; also those that are still to be accepted at the end.
+     * Returns the number of connections with an incomplete request, a request in flight or a
+     * response not completely sent. Adds one while connections made before {@link #stopAccepting}
+     * are still being accepted.
      */
     public int busyConnections() {
-        long peersBusy = peers.values().stream().filter(Peer::busy).count();
-        boolean acceptsStill = stoppedTaking && listener.isOpen();
-        return (int) peersBusy + (acceptsStill ? 1 : 0);
+        long busy = clients.values().stream().filter(ClientConnection::isBusy).count();
+        boolean stillAccepting = stoppedAccepting && listener.isOpen();
+        return (int) busy + (stillAccepting ? 1 : 0);
     }
 
-    /** Closes everything at once, as a crash would. */
+    /** Stops listening and resets all connections at once, as a crash would. */
     public void kill() {
         listener.close();
-        for (Peer peer : List.copyOf(peers.values())) {
-            peer.connection.reset();
-            peer.end();
+        for (ClientConnection client : List.copyOf(clients.values())) {
+            client.connection.reset();
+            client.close();
         }
     }
 
-    private void count(String reason) {
+    private void countTurnedAway(String reason) {
         turnedAway.merge(reason, 1L, Long::sum);
     }
 
@@ -195,12 +238,12 @@
             closeUnserved(channel, e);
             return;
         }
-        String reason = door.tryAdmit(from);
-        if (reason != null && yields && makeRoom()) {
-            reason = door.tryAdmit(from);
+        String reason = admission.tryAdmit(from);
+        if (reason != null && evictsIdle && evictIdleConnection()) {
+            reason = admission.tryAdmit(from);
         }
         if (reason != null) {
-            count(reason);
+            countTurnedAway(reason);
             turnAway(channel);
             return;
         }
@@ -214,20 +257,23 @@
                     channel,
                     limits.headerBytes() + limits.startLineBytes(),
                     connection -> {
-                        Peer peer = new Peer(connection, from, ++accepted);
-                        peers.put(peer.id, peer);
-                        return peer;
+                        ClientConnection client =
+                                new ClientConnection(connection, from, ++acceptedConnections);
+                        clients.put(client.id, client);
+                        return client;
                     });
         } catch (IOException e) {
-            door.connectionClosed(from);
+            admission.connectionClosed(from);
             closeUnserved(channel, e);
         }
     }
 
-    /** Nothing was read of it, so whoever opened it may come again. */
-    private void closeUnserved(SocketChannel channel, IOException why) {
-        count("accept");
-        loop.faults().count("client.accept", "closed", why);
+    /**
+     * Closes a connection of which nothing was read, so that its client may safely connect again.
+     */
+    private void closeUnserved(SocketChannel channel, IOException cause) {
+        countTurnedAway("accept");
+        loop.faults().count("client.accept", "closed", cause);
         closeQuietly(channel);
     }
 
@@ -240,23 +286,25 @@
     }
 
     /**
-     * Closes one that may give way; what it had sent meanwhile, unseen, saves it, and the next one
-     * is looked at.
+     * Closes a connection without a request in flight. A candidate that turns out to have bytes in
+     * the kernel is kept, and the next candidate is polled.
+     *
+     * @return whether a connection was closed
      */
-    private boolean makeRoom() {
-        for (int i = 0; i < LOOKS; i++) {
-            Peer best = leastUsed();
-            if (best == null) {
+    private boolean evictIdleConnection() {
+        for (int i = 0; i < MAX_EVICTION_CHECKS; i++) {
+            ClientConnection candidate = findEvictable();
+            if (candidate == null) {
                 return false;
             }
-            long since = best.since;
-            best.connection.poll();
-            if (!best.connection.isOpen()) {
+            long waitingSinceMicros = candidate.waitingSinceMicros;
+            candidate.connection.poll();
+            if (!candidate.connection.isOpen()) {
                 return true;
             }
-            if (best.mayGiveWay() && best.since == since) {
-                count("made_room");
-                best.end();
+            if (candidate.mayBeEvicted() && candidate.waitingSinceMicros == waitingSinceMicros) {
+                countTurnedAway("made_room");
+                candidate.close();
                 return true;
             }
         }
@@ -264,31 +312,33 @@
     }
 
     /**
-     * The first that has been silent since it came, or else the one idle for longest since its last
-     * answer.
+     * Returns the connection to evict: the oldest one without any complete request, if it is old
+     * enough, otherwise the one whose last response is longest ago. Returns null if there is none.
      */
-    private Peer leastUsed() {
+    private ClientConnection findEvictable() {
         long now = Loop.now();
-        Peer best = null;
-        for (Peer peer : peers.values()) {
-            if (!peer.mayGiveWay()) {
+        ClientConnection best = null;
+        for (ClientConnection client : clients.values()) {
+            if (!client.mayBeEvicted()) {
                 continue;
             }
-            if (!peer.asked && now - peer.born > SILENT) {
-                best = peer;
+            if (!client.hadRequest
+                    && now - client.createdAtMicros > SILENCE_BEFORE_EVICTION_MICROS) {
+                best = client;
                 break;
             }
-            if (peer.asked
-                    && peer.parser.isBetweenMessages()
-                    && (best == null || peer.since < best.since)) {
-                best = peer;
+            if (client.hadRequest
+                    && client.parser.isBetweenMessages()
+                    && (best == null || client.waitingSinceMicros < best.waitingSinceMicros)) {
+                best = client;
             }
         }
         return best;
     }
 
     /**
-     * A word to a client that finds all connections taken, as far as its socket takes it at once.
+     * Closes a connection that was not admitted, after a response with status 503. Bytes of the
+     * response that the socket does not take at once are dropped.
      */
     private void turnAway(SocketChannel channel) {
         byte[] body = Problem.of(503, "connections", "all connections are taken", true).bytes();
@@ -309,74 +359,86 @@
         closeQuietly(channel);
     }
 
-    /** One request and the one answer to it. */
+    /** A complete request and its response, which is given once. */
     public final class Exchange {
-        private final Peer peer;
+        private final ClientConnection client;
         private final HttpMessage message;
-        private final long since;
-        private Runnable gone;
+        private final long earliestSentAtMicros;
+        private Runnable disconnectListener;
         private boolean answered;
 
-        private Exchange(Peer peer, HttpMessage message, long since) {
-            this.since = since;
-            this.peer = peer;
+        private Exchange(ClientConnection client, HttpMessage message, long earliestSentAtMicros) {
+            this.earliestSentAtMicros = earliestSentAtMicros;
+            this.client = client;
             this.message = message;
         }
 
+        /** Returns the request. */
         public HttpMessage message() {
             return message;
         }
 
         /**
-         * The earliest time at which its client can have begun to send it, as far as can be known
-         * here.
+         * Returns the earliest time at which the first bytes of the request may have arrived. The
+         * time is earlier than the read when the event loop was busy or an earlier request of the
+         * connection was in flight.
          */
         public long earliestSentAtMicros() {
-            return since;
+            return earliestSentAtMicros;
         }
 
-        /** Runs if the client goes away before the answer. */
+        /** Sets a task that runs if the client disconnects before the request is answered. */
         public void onClientDisconnect(Runnable task) {
-            gone = task;
+            disconnectListener = task;
         }
 
+        /** Returns whether the request is not answered yet and its client is still connected. */
         public boolean isOpen() {
-            return !answered && peer.connection.isOpen();
+            return !answered && client.connection.isOpen();
         }
 
         /**
-         * Makes sure, where the loop has been busy elsewhere, that a client that has gone is known
-         * to have.
+         * Detects a client that has disconnected while the event loop was busy, before the loop
+         * comes to read its connection.
          */
         public void pollForDisconnect() {
             if (isOpen()) {
-                peer.connection.pollIfBehind();
+                client.connection.pollIfBehind();
             }
         }
 
-        /** Breaks the connection instead of answering. */
+        /** Resets the connection instead of answering the request. */
         public void reset() {
             answered = true;
-            gone = null;
-            peer.connection.reset();
-            peer.end();
+            disconnectListener = null;
+            client.connection.reset();
+            client.close();
         }
 
+        /** Returns the client's address and port for the log. */
         public String clientAddress() {
-            return peer.connection.peer();
+            return client.connection.peer();
         }
 
+        /** Answers the request; see {@link #answer(int, String, Bytes, String...)}. */
         public void answer(int status, String type, byte[] body, String... headers) {
             answer(status, type, Bytes.of(body), headers);
         }
 
+        /**
+         * Answers the request. Nothing is sent if the client has disconnected.
+         *
+         * @param type the content type, or empty for none
+         * @param headers further headers, a name and a value in turn
+         * @throws IllegalStateException if the request has been answered before
+         */
         public void answer(int status, String type, Bytes body, String... headers) {
             if (answered) {
-                throw new IllegalStateException("a second answer to one request");
+                throw new IllegalStateException("the request has already been answered");
             }
             answered = true;
-            gone = null;
-            boolean last = stopping || !message.keepsAlive();
+            disconnectListener = null;
+            boolean closesConnection = stopping || !message.keepsAlive();
             HttpWriter writer = HttpWriter.response(status);
             for (int i = 0; i < headers.length; i += 2) {
                 writer.header(headers[i], headers[i + 1]);
@@ -384,44 +446,49 @@
             if (!type.isEmpty()) {
                 writer.header("Content-Type", type);
             }
-            if (last) {
+            if (closesConnection) {
                 writer.header("Connection", "close");
             }
-            List<ByteBuffer> all = new ArrayList<>();
-            all.add(writer.head(Math.toIntExact(body.size())));
+            List<ByteBuffer> output = new ArrayList<>();
+            output.add(writer.head(Math.toIntExact(body.size())));
             if (!message.method().equals("HEAD")) {
-                all.addAll(body.buffers());
+                output.addAll(body.buffers());
             }
-            peer.connection.send(all.toArray(ByteBuffer[]::new));
-            peer.answered(this, last);
+            client.connection.send(output.toArray(ByteBuffer[]::new));
+            client.responseQueued(this, closesConnection);
         }
     }
 
-    private final class Peer implements ConnectionHandler {
+    /** A connection of a client, with at most one request in flight. */
+    private final class ClientConnection implements ConnectionHandler {
         private final Connection connection;
         private final HttpParser parser = HttpParser.requests(limits).stopAtBody();
-        private final InetAddress from;
+        private final InetAddress address;
         private final long id;
+
+        /** The request in flight, null without one. */
         private Exchange exchange;
-        private long since =
-                Loop.now(); // of the present wait: for a message, a head, a body, a writer
-        private long messageSince;
-        private final long born = Loop.now();
-        private boolean headSeen, closing, waiting, gone, asked;
-        private TimerHeap.Timer timer, fresh;
-
-        private Peer(Connection connection, InetAddress from, long id) {
-            this.from = from;
+
+        /** Start of the present wait: for a request, the rest of a head or body, or a response. */
+        private long waitingSinceMicros = Loop.now();
+
+        private long messageSentSinceMicros;
+        private final long createdAtMicros = Loop.now();
+        private boolean headChecked, closing, waitsForBodyBytes, unregistered, hadRequest;
+        private TimerHeap.Timer waitTimer, firstRequestTimer;
+
+        private ClientConnection(Connection connection, InetAddress address, long id) {
+            this.address = address;
             this.id = id;
             this.connection = connection;
-            watch();
-            if (freshMicros < Long.MAX_VALUE) {
-                fresh = loop.after(freshMicros, this::stale);
+            enforceTimeLimit();
+            if (firstRequestMicros < Long.MAX_VALUE) {
+                firstRequestTimer = loop.after(firstRequestMicros, this::firstRequestOverdue);
             }
         }
 
-        /** Nothing is under way on it, also not in the kernel. */
-        private boolean unused() {
+        /** Polls the connection and returns whether it has no request or response to complete. */
+        private boolean isUnused() {
             if (exchange == null && parser.isBetweenMessages() && !closing) {
                 connection.poll();
             }
@@ -431,21 +498,23 @@
                     && connection.pending() == 0;
         }
 
-        private boolean busy() {
+        private boolean isBusy() {
             return (!closing && (exchange != null || !parser.isBetweenMessages()))
                     || connection.pending() > 0;
         }
 
-        private boolean mayGiveWay() {
-            return exchange == null && !waiting && (!asked || parser.isBetweenMessages());
+        private boolean mayBeEvicted() {
+            return exchange == null
+                    && !waitsForBodyBytes
+                    && (!hadRequest || parser.isBetweenMessages());
         }
 
-        private void stale() {
+        private void firstRequestOverdue() {
             connection.poll();
-            if (!asked && !closing && connection.isOpen()) {
-                count("fresh");
-                if (parser.isBetweenMessages() && !waiting) {
-                    end();
+            if (!hadRequest && !closing && connection.isOpen()) {
+                countTurnedAway("fresh");
+                if (parser.isBetweenMessages() && !waitsForBodyBytes) {
+                    close();
                 } else {
                     refuse(new HttpError(408, "the request did not come in time"));
                 }
@@ -453,11 +522,12 @@
         }
 
         /**
-         * One timer a connection, set again only when it fires: most waits end long before their
-         * bound.
+         * Ends a wait that has exceeded its time limit, or sets the timer for the rest of the
+         * limit. A connection has one timer, which is set again only when it fires, since most
+         * waits end long before their limit.
          */
-        private void watch() {
-            long most =
+        private void enforceTimeLimit() {
+            long limitMicros =
                     closing || connection.pending() > 0
                             ? limits.writeMicros()
                             : parser.isBetweenMessages()
@@ -465,27 +535,31 @@
                                     : parser.isReadingBody()
                                             ? limits.bodyMicros()
                                             : limits.headMicros();
-            long base = connection.pending() > 0 ? connection.lastMove() : since;
-            long left =
-                    (exchange != null || waiting) && connection.pending() == 0
-                            ? most
-                            : base + most - Loop.now();
-            if (left > 0) {
-                timer = loop.after(left, this::watch);
+            long startMicros =
+                    connection.pending() > 0 ? connection.lastMove() : waitingSinceMicros;
+            long leftMicros =
+                    (exchange != null || waitsForBodyBytes) && connection.pending() == 0
+                            ? limitMicros
+                            : startMicros + limitMicros - Loop.now();
+            if (leftMicros > 0) {
+                waitTimer = loop.after(leftMicros, this::enforceTimeLimit);
                 return;
             }
-            TimerHeap.Timer before = timer;
-            if (parser.isBetweenMessages() && !closing && connection.pending() == 0 && !unused()) {
-                if (connection.isOpen() && timer == before) {
-                    watch(); // it spoke at the last moment
+            TimerHeap.Timer timerBeforePoll = waitTimer;
+            if (parser.isBetweenMessages()
+                    && !closing
+                    && connection.pending() == 0
+                    && !isUnused()) {
+                if (connection.isOpen() && waitTimer == timerBeforePoll) {
+                    enforceTimeLimit(); // the poll found bytes of a request
                 }
             } else if (parser.isBetweenMessages() || connection.pending() > 0 || closing) {
-                count(connection.pending() > 0 ? "slow_reader" : "idle");
-                end();
+                countTurnedAway(connection.pending() > 0 ? "slow_reader" : "idle");
+                close();
             } else {
-                count(parser.isReadingBody() ? "slow_body" : "slow_head");
+                countTurnedAway(parser.isReadingBody() ? "slow_body" : "slow_head");
                 refuse(new HttpError(408, "the request did not come in time"));
-                loop.after(limits.writeMicros(), this::end);
+                loop.after(limits.writeMicros(), this::close);
             }
         }
 
@@ -495,57 +569,59 @@
                 in.position(in.limit());
                 return;
             }
-            if (exchange != null || waiting) {
-                return; // kept by the connection until the answer is out
+            if (exchange != null || waitsForBodyBytes) {
+                return; // the connection keeps the bytes until the present request is answered
             }
             try {
-                boolean was = parser.isBetweenMessages();
-                if (was) {
-                    messageSince = connection.offeredSince();
+                boolean startsMessage = parser.isBetweenMessages();
+                if (startsMessage) {
+                    messageSentSinceMicros = connection.offeredSince();
                 }
                 HttpMessage message = parser.next(in);
-                if (message == null && parser.isReadingBody() && !headSeen) {
-                    head();
-                    if (waiting) {
+                if (message == null && parser.isReadingBody() && !headChecked) {
+                    admitBody();
+                    if (waitsForBodyBytes) {
                         return;
                     }
                     message = parser.next(in);
                 }
                 if (message == null) {
-                    if (was || (parser.isReadingBody() && phase != 2)) {
-                        phase = parser.isReadingBody() ? 2 : 1;
-                        begun();
+                    if (startsMessage || (parser.isReadingBody() && timedPhase != PHASE_BODY)) {
+                        timedPhase = parser.isReadingBody() ? PHASE_BODY : PHASE_HEAD;
+                        restartTimeLimit();
                     }
                     return;
                 }
-                phase = 0;
-                headSeen = false;
-                asked = true;
-                if (fresh != null) {
-                    fresh.cancel();
+                timedPhase = PHASE_NONE;
+                headChecked = false;
+                hadRequest = true;
+                if (firstRequestTimer != null) {
+                    firstRequestTimer.cancel();
                 }
-                Exchange e = new Exchange(this, message, messageSince);
-                exchange = e;
+                Exchange newExchange = new Exchange(this, message, messageSentSinceMicros);
+                exchange = newExchange;
                 connection.delayCloseIfBroken(brokenCloseDelayMicros);
-                handler.handle(e);
+                handler.handle(newExchange);
             } catch (HttpError e) {
-                count("status_" + e.status());
+                countTurnedAway("status_" + e.status());
                 in.position(in.limit());
                 refuse(e);
             }
         }
 
-        private int phase; // 0 between messages, 1 in a head, 2 in a body
+        /** One of the {@code PHASE_} constants. */
+        private int timedPhase;
 
-        /** A head or a body did not come at once: from now its own bound counts. */
-        private void begun() {
-            since = Loop.now();
-            timer.cancel();
-            watch();
+        /** Starts the time limit of a head or body that has not arrived completely. */
+        private void restartTimeLimit() {
+            waitingSinceMicros = Loop.now();
+            waitTimer.cancel();
+            enforceTimeLimit();
         }
 
-        private void head() {
-            headSeen = true;
+        /** Decides from the complete head whether the body is read, now or after a wait. */
+        private void admitBody() {
+            headChecked = true;
             int status = handler.checkHead(parser.currentMessage());
             if (status != 0) {
                 throw new HttpError(status, "turned away before the body");
@@ -554,21 +630,21 @@
                     parser.remainingContentLength() < 0
                             ? limits.bodyBytes()
                             : parser.remainingContentLength();
-            if (!door.canEverReserve(bytes)) {
+            if (!admission.canEverReserve(bytes)) {
                 throw new HttpError(
                         413,
                         "a body of " + bytes + " bytes is more than all bodies may hold together");
             }
-            if (!door.tryReserve(id, bytes)) {
-                count("bodies_waited");
-                waiting = true;
+            if (!admission.tryReserve(id, bytes)) {
+                countTurnedAway("bodies_waited");
+                waitsForBodyBytes = true;
                 connection.pause(true);
                 return;
             }
-            goAhead();
+            sendContinueIfExpected();
         }
 
-        private void goAhead() {
+        private void sendContinueIfExpected() {
             if (parser.currentMessage().hasHeaderToken("expect", "100-continue")) {
                 connection.send(
                         ByteBuffer.wrap(
@@ -577,24 +653,27 @@
             }
         }
 
-        private void granted() {
-            if (waiting && connection.isOpen()) {
-                waiting = false;
-                goAhead();
+        private void bodyBytesGranted() {
+            if (waitsForBodyBytes && connection.isOpen()) {
+                waitsForBodyBytes = false;
+                sendContinueIfExpected();
                 connection.pause(false);
-                begun();
+                restartTimeLimit();
                 loop.after(0, connection::offer);
             }
         }
 
         @Override
         public void drained() {
-            release();
-            responseMayBeOut();
+            releaseBodyBytes();
+            endCloseDelayOnceSent();
         }
 
-        /** Once the kernel has all of the response, a close cannot cross its request any more. */
-        private void responseMayBeOut() {
+        /**
+         * Ends the delay of a broken connection's close once the kernel has the whole response: the
+         * client then cannot take the close for one that crossed its request.
+         */
+        private void endCloseDelayOnceSent() {
             if (exchange == null && connection.pending() == 0) {
                 connection.delayCloseIfBroken(0);
             }
@@ -602,27 +681,27 @@
 
         @Override
         public void crammed() {
-            if (oneAtATime) {
-                count("crammed");
+            if (resetsOnFullInput) {
+                countTurnedAway("crammed");
                 connection.reset();
                 closed(null);
             }
         }
 
-        private void release() {
-            door.release(
+        private void releaseBodyBytes() {
+            admission.release(
                     id,
-                    other -> {
-                        Peer let = peers.get(other);
-                        if (let != null) {
-                            let.granted();
+                    grantedId -> {
+                        ClientConnection granted = clients.get(grantedId);
+                        if (granted != null) {
+                            granted.bodyBytesGranted();
                         }
                     });
         }
 
         /**
-         * A message that cannot be read: where the next would begin is unknown, so the connection
-         * closes.
+         * Answers a request that cannot be read, and closes the connection, since the start of the
+         * next request is unknown.
          */
         private void refuse(HttpError e) {
             closing = true;
@@ -634,59 +713,61 @@
                             .header("Connection", "close")
                             .head(refusal.body().length),
                     ByteBuffer.wrap(refusal.body()));
-            // What the client still sends is read and dropped for a while: a reset would discard
-            // the answer unread.
+            // Bytes that the client still sends are read and dropped for a while. Closing with
+            // unread bytes would send a reset, and the client would lose the response.
             connection.endOutput();
-            loop.after(Math.min(limits.writeMicros(), LINGER), this::end);
+            loop.after(Math.min(limits.writeMicros(), REFUSAL_LINGER_MICROS), this::close);
         }
 
-        private void answered(Exchange e, boolean last) {
-            if (exchange != e) {
+        private void responseQueued(Exchange answered, boolean closesConnection) {
+            if (exchange != answered) {
                 return;
             }
             exchange = null;
-            since = Loop.now();
-            responseMayBeOut();
-            release();
+            waitingSinceMicros = Loop.now();
+            endCloseDelayOnceSent();
+            releaseBodyBytes();
             if (connection.pending() > 0) {
-                door.reserve(id, connection.pending());
+                admission.reserve(id, connection.pending());
             }
-            if (last) {
+            if (closesConnection) {
                 closing = true;
                 connection.closeWhenSent();
                 if (!connection.isOpen()) {
-                    end();
+                    close();
                 }
             } else {
                 loop.after(0, connection::offer);
             }
         }
 
-        private void end() {
-            leave();
+        private void close() {
+            unregister();
             connection.close();
         }
 
-        private void leave() {
-            timer.cancel();
-            if (fresh != null) {
-                fresh.cancel();
+        private void unregister() {
+            waitTimer.cancel();
+            if (firstRequestTimer != null) {
+                firstRequestTimer.cancel();
             }
-            peers.remove(id);
-            if (!gone) {
-                gone = true;
-                release();
-                door.connectionClosed(from);
+            clients.remove(id);
+            if (!unregistered) {
+                unregistered = true;
+                releaseBodyBytes();
+                admission.connectionClosed(address);
             }
         }
 
         @Override
-        public void closed(IOException why) {
-            leave();
-            Exchange e = exchange;
-            if (e != null && !e.answered && e.gone != null) {
+        public void closed(IOException cause) {
+            unregister();
+            Exchange interrupted = exchange;
+            if (interrupted != null
+                    && !interrupted.answered
+                    && interrupted.disconnectListener != null) {
                 exchange = null;
-                e.gone.run();
+                interrupted.disconnectListener.run();
             }
         }
     }
--- a/src/main/java/waytrestle/http/HttpWriter.java
+++ b/src/main/java/waytrestle/http/HttpWriter.java
@@ -3,28 +3,35 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes heads; the length is always given and a value can never end its line. */
+/**
+ * Builds the head of a request or response. Control characters in a header value are replaced by
+ * spaces, so that a value cannot end its line and start another header.
+ */
 public final class HttpWriter {
     private final StringBuilder text = new StringBuilder(256);
 
     private HttpWriter() {}
 
+    /** Starts a request with its request line and Host header. */
     public static HttpWriter request(String method, String target, String host) {
-        HttpWriter w = new HttpWriter();
-        w.text.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
-        return w.header("Host", host);
+        HttpWriter writer = new HttpWriter();
+        writer.text.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
+        return writer.header("Host", host);
     }
 
+    /** Starts a response with its status line. */
     public static HttpWriter response(int status) {
-        HttpWriter w = new HttpWriter();
-        w.text.append("HTTP/1.1 ")
+        HttpWriter writer = new HttpWriter();
+        writer.text
+                .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
                 .append(reasonPhrase(status))
                 .append("\r\n");
-        return w;
+        return writer;
     }
 
+    /** Adds a header; characters that ISO 8859-1 cannot encode become spaces too. */
     public HttpWriter header(String name, String value) {
         text.append(name).append(": ");
         for (int i = 0; i < value.length(); i++) {
@@ -35,23 +42,25 @@
         return this;
     }
 
+    /** Adds a header with a number. */
     public HttpWriter header(String name, long value) {
         text.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
-    /** The head, ended, with the length of the body that follows it. */
+    /** Ends the head with the length, in bytes, of the body that follows, and returns its bytes. */
     public ByteBuffer head(int bodyLength) {
         text.append("Content-Length: ").append(bodyLength).append("\r\n\r\n");
         return ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The head of a message without a body, which needs no length. */
+    /** Ends the head without a length and returns its bytes; for a message without a body. */
     public ByteBuffer head() {
         return ByteBuffer.wrap(
                 text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Returns the reason phrase of a status, or "Status" if the status is not in use here. */
     static String reasonPhrase(int status) {
         return switch (status) {
             case 100 -> "Continue";
--- a/src/main/java/waytrestle/http/OutgoingRequest.java
+++ b/src/main/java/waytrestle/http/OutgoingRequest.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 
-/** The bytes of a request, the same for each try. */
+/** The bytes of a request, which may be written again on another connection. */
 final class OutgoingRequest {
     private final ByteBuffer[] parts;
 
@@ -10,7 +10,7 @@
         this.parts = parts;
     }
 
-    /** All bytes from the first on, with positions of their own. */
+    /** Returns all bytes of the request in new buffers, whose positions no other caller moves. */
     ByteBuffer[] bytes() {
         ByteBuffer[] copy = new ByteBuffer[parts.length];
         for (int i = 0; i < parts.length; i++) {
--- a/src/main/java/waytrestle/http/PeerEndDetector.java
+++ b/src/main/java/waytrestle/http/PeerEndDetector.java
@@ -1,38 +1,46 @@
 package waytrestle.http;
 
 /**
- * Tells the end of a peer's process from the closing of single connections: all connections close
- * at about the same time, among them an idle one that no server would have closed for its age.
+ * Distinguishes the end of a peer's process from closes of single connections. When the process
+ * ends, all its connections close at about the same time, also idle ones that were used too
+ * recently for a server to close them on its idle timeout.
  *
- * <p>Free of I/O and clock. Not thread-safe.
+ * <p>Does no I/O and reads no clock. Not thread-safe.
  */
 final class PeerEndDetector {
     /**
-     * Micros since its use in which no server closes an idle connection: the shortest usual bound
-     * is five seconds.
+     * Time since its last use in which no server closes an idle connection. The shortest usual idle
+     * timeout of servers is five seconds.
      */
-    private static final long KEPT_BY_ANY_SERVER_MICROS = 4_000_000;
+    private static final long MIN_SERVER_IDLE_TIMEOUT_MICROS = 4_000_000;
 
-    /** Micros in which all connections of a process that ends close. */
-    private static final long PROCESS_END_MICROS = 100_000;
+    /** Time within which all connections of a process that ends are closed. */
+    private static final long PROCESS_END_WINDOW_MICROS = 100_000;
 
-    /** In place of a time: long past. */
+    /** A time long past, so that subtracting it from the current time does not overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private long youngConnectionClosedAt = NEVER;
+    private long recentlyUsedClosedAtMicros = NEVER;
 
-    /** The peer has closed an idle connection that was last used at this time. */
-    void idleConnectionClosed(long nowMicros, long usedAtMicros) {
-        if (nowMicros - usedAtMicros < KEPT_BY_ANY_SERVER_MICROS) {
-            youngConnectionClosedAt = nowMicros;
+    /**
+     * Records that the peer has closed an idle connection.
+     *
+     * @param lastUsedAtMicros when the connection was last used
+     */
+    void idleConnectionClosed(long nowMicros, long lastUsedAtMicros) {
+        if (nowMicros - lastUsedAtMicros < MIN_SERVER_IDLE_TIMEOUT_MICROS) {
+            recentlyUsedClosedAtMicros = nowMicros;
         }
     }
 
-    /** Whether its process has ended, now that no connection is left; true once for each end. */
+    /**
+     * Returns whether the close of the last open connection means that the peer's process has
+     * ended. Returns true only once for each end.
+     */
     boolean consumeProcessEnd(long nowMicros) {
-        boolean ended = nowMicros - youngConnectionClosedAt < PROCESS_END_MICROS;
+        boolean ended = nowMicros - recentlyUsedClosedAtMicros < PROCESS_END_WINDOW_MICROS;
         if (ended) {
-            youngConnectionClosedAt = NEVER;
+            recentlyUsedClosedAtMicros = NEVER;
         }
         return ended;
     }
--- a/src/main/java/waytrestle/http/ResponseHandler.java
+++ b/src/main/java/waytrestle/http/ResponseHandler.java
@@ -1,10 +1,17 @@
 package waytrestle.http;
 
-/** Hears of one end, on the loop and never within the call that began the exchange. */
+/**
+ * Receives the outcome of one exchange: exactly one of the two methods is called, once, on the
+ * client's event loop and never from within the call that started the exchange.
+ */
 public interface ResponseHandler {
-    /** A complete response has come. */
-    void responseReceived(HttpMessage message);
+    /** Called when a complete response has been received. */
+    void responseReceived(HttpMessage response);
 
-    /** The exchange has ended without one. */
-    void exchangeFailed(ExchangeFailure how, String why);
+    /**
+     * Called when the exchange has ended without a complete response.
+     *
+     * @param detail the cause, for the log
+     */
+    void exchangeFailed(ExchangeFailure failure, String detail);
 }
--- a/src/main/java/waytrestle/http/ResponseReader.java
+++ b/src/main/java/waytrestle/http/ResponseReader.java
@@ -3,14 +3,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * The responses that come on one connection of a client: interim ones are passed over, and the
- * bytes of an incomplete one count against a bound that connections share.
+ * Reads the responses on one connection of a client. Interim responses (1xx) are skipped, and the
+ * bytes of an incomplete response count against a limit that connections share.
  *
- * <p>Free of I/O and clock. Not thread-safe.
+ * <p>Does no I/O and reads no clock. Not thread-safe.
  */
 final class ResponseReader {
-    /** Interim responses (1xx) to one request: more say nothing more. */
-    private static final int MAX_INTERIM_RESPONSES = 16;
+    /** Interim responses accepted for one request; a client needs none of them. */
+    private static final int MAX_INTERIM_RESPONSES_PER_REQUEST = 16;
 
     private static final int FIRST_FINAL_STATUS = 200;
     private static final int SWITCHING_PROTOCOLS = 101;
@@ -18,32 +18,33 @@
     private static final int CONTENT_TOO_LARGE = 413;
 
     private final HttpParser parser;
-    private final FairByteLimit held;
+    private final FairByteLimit incompleteResponses;
     private int interimResponses;
 
-    /** Bytes of a response that is not complete yet. */
-    private long heldBytes;
+    /** Bytes received of the incomplete response, 0 between responses. */
+    private long reservedBytes;
 
-    ResponseReader(HttpLimits limits, FairByteLimit held) {
+    ResponseReader(HttpLimits limits, FairByteLimit incompleteResponses) {
         this.parser = HttpParser.responses(limits);
-        this.held = held;
+        this.incompleteResponses = incompleteResponses;
     }
 
     /**
-     * The next final response, or null where it is not complete yet.
+     * Returns the next final response, or null if it is not complete yet.
      *
-     * @param expected whether a request is out on the connection
-     * @throws HttpError where what came is no response, or more than may be held
+     * @param in the received bytes
+     * @param expected whether a request on the connection awaits its response
+     * @throws HttpError if the bytes are not a valid response or exceed a limit
      */
     HttpMessage next(ByteBuffer in, boolean expected) throws HttpError {
         int bytes = in.remaining();
         HttpMessage message = parser.next(in);
         while (message != null && message.status() < FIRST_FINAL_STATUS) {
-            countInterim(message, expected);
+            checkInterim(message, expected);
             message = parser.next(in);
         }
         if (message == null) {
-            hold(bytes);
+            reserve(bytes);
         } else {
             release();
             interimResponses = 0;
@@ -51,30 +52,32 @@
         return message;
     }
 
-    private void countInterim(HttpMessage message, boolean expected) throws HttpError {
+    private void checkInterim(HttpMessage message, boolean expected) throws HttpError {
         interimResponses++;
         if (!expected
                 || message.status() == SWITCHING_PROTOCOLS
-                || interimResponses > MAX_INTERIM_RESPONSES) {
-            throw new HttpError(BAD_REQUEST, "an interim answer that nobody asked for");
+                || interimResponses > MAX_INTERIM_RESPONSES_PER_REQUEST) {
+            throw new HttpError(BAD_REQUEST, "an interim response (1xx) that cannot be skipped");
         }
     }
 
-    private void hold(int bytes) throws HttpError {
-        if (!held.tryReserve(heldBytes, bytes)) {
-            throw new HttpError(CONTENT_TOO_LARGE, "answers together hold as much as they may");
+    private void reserve(int bytes) throws HttpError {
+        if (!incompleteResponses.tryReserve(reservedBytes, bytes)) {
+            throw new HttpError(
+                    CONTENT_TOO_LARGE,
+                    "incomplete responses together exceed the limit on their bytes");
         }
-        heldBytes += bytes;
+        reservedBytes += bytes;
     }
 
-    /** The connection has ended: the response that its end completes, or null without one. */
+    /** Returns the response that the end of the connection completes, or null if there is none. */
     HttpMessage finishAtClose() {
         return parser.finishAtClose();
     }
 
-    /** Nothing is held any more of a response that is not complete. */
+    /** Releases the reserved bytes of the incomplete response. */
     void release() {
-        held.release(heldBytes);
-        heldBytes = 0;
+        incompleteResponses.release(reservedBytes);
+        reservedBytes = 0;
     }
 }
--- a/src/main/java/waytrestle/http/Withdrawal.java
+++ b/src/main/java/waytrestle/http/Withdrawal.java
@@ -1,20 +1,24 @@
 package waytrestle.http;
 
 /**
- * Whether a request is still to be sent: a connection may come up when nobody wants it any more.
+ * Decides right before a request is sent whether the caller has withdrawn it. A connection may be
+ * established so late that the caller no longer wants the request to be sent.
  */
 @FunctionalInterface
 public interface Withdrawal {
     /**
-     * Called right before the first byte is written, and again before each further try.
+     * Returns how the request fails instead of being sent. Called right before the first byte is
+     * written, and again before each further attempt to send the request.
      *
-     * @return how the request ends instead of being sent; null to send it
+     * @return the failure to report, or null if the request is to be sent
      */
     ExchangeFailure failureIfWithdrawn();
 
     /**
-     * The request was written so long after the last question, since the process was stopped
-     * between the two. No process can prevent that.
+     * Reports that the request was written long after the last {@link #failureIfWithdrawn}, because
+     * the process was paused in between. A process cannot prevent such a pause.
+     *
+     * @param micros time from the last check to the write
      */
     default void writeDelayed(long micros) {}
 }
--- a/src/main/java/waytrestle/http/WithdrawalCheck.java
+++ b/src/main/java/waytrestle/http/WithdrawalCheck.java
@@ -3,54 +3,54 @@
 import java.util.function.LongSupplier;
 
 /**
- * Asks whether a request is still to be sent, so that the answer is not outdated when it is acted
- * on. Guards against a process that is stopped between the question and the write: the answer would
- * be as old as the stop.
+ * Asks the {@link Withdrawal} of one request whether the request is still to be sent, and repeats
+ * the check when its result is outdated. Guards against a pause of the process between the check
+ * and the write: the request would be sent on a check result as old as the pause.
  *
- * <p>Not thread-safe: used by its loop alone.
+ * <p>Not thread-safe: used by the event loop of its client.
  */
 final class WithdrawalCheck {
-    /** An answer that is older counts for nothing. It is small beside any drain grace. */
-    private static final long MAX_AGE_MICROS = 10_000;
+    /** Age above which a check result is outdated. Small compared with any drain grace period. */
+    private static final long MAX_CHECK_AGE_MICROS = 10_000;
 
-    /** A process that is stopped during each question sends by the last answer. */
-    private static final int MAX_QUESTIONS = 3;
+    /** Checks before the request is sent on the last result, though the process paused in each. */
+    private static final int MAX_CHECKS = 3;
 
     private final Withdrawal withdrawal;
     private final LongSupplier clockMicros;
-    private long askedAtMicros;
+    private long checkedAtMicros;
 
     WithdrawalCheck(Withdrawal withdrawal, LongSupplier clockMicros) {
         this.withdrawal = withdrawal;
         this.clockMicros = clockMicros;
     }
 
-    /** How the request ends instead of being sent; null to send it. */
+    /** Returns how the request fails instead of being sent, or null if it is to be sent. */
     ExchangeFailure failureIfWithdrawn() {
-        for (int i = 0; i < MAX_QUESTIONS; i++) {
-            askedAtMicros = clockMicros.getAsLong();
-            ExchangeFailure how = withdrawal.failureIfWithdrawn();
-            if (how != null || !isOutdated()) {
-                return how;
+        for (int i = 0; i < MAX_CHECKS; i++) {
+            checkedAtMicros = clockMicros.getAsLong();
+            ExchangeFailure failure = withdrawal.failureIfWithdrawn();
+            if (failure != null || !isOutdated()) {
+                return failure;
             }
         }
         return null;
     }
 
-    /** Whether the last answer is too old to be acted on. */
+    /** Returns whether the last check is too old for the request to be sent on its result. */
     boolean isOutdated() {
-        return ageMicros() > MAX_AGE_MICROS;
+        return checkAgeMicros() > MAX_CHECK_AGE_MICROS;
     }
 
-    /** The request has been written. */
+    /** Records the write of the request; reports it to the withdrawal if the check was outdated. */
     void requestWritten() {
-        long age = ageMicros();
-        if (age > MAX_AGE_MICROS) {
-            withdrawal.writeDelayed(age);
+        long ageMicros = checkAgeMicros();
+        if (ageMicros > MAX_CHECK_AGE_MICROS) {
+            withdrawal.writeDelayed(ageMicros);
         }
     }
 
-    private long ageMicros() {
-        return clockMicros.getAsLong() - askedAtMicros;
+    private long checkAgeMicros() {
+        return clockMicros.getAsLong() - checkedAtMicros;
     }
 }
--- a/src/test/java/waytrestle/http/HttpClientTest.java
+++ b/src/test/java/waytrestle/http/HttpClientTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 import waytrestle.net.Loop;
 
-/** Requests over connections that break in each phase, against plain sockets. */
+/** A client whose connections are refused, reset or stalled by a server on plain sockets. */
 class HttpClientTest {
     private final Loop loop = new Loop("test", e -> {}).start();
-    private final BlockingQueue<String> ends = new ArrayBlockingQueue<>(100);
+    private final BlockingQueue<String> outcomes = new ArrayBlockingQueue<>(100);
     private ServerSocket server;
     private HttpClient client;
 
@@ -55,20 +55,21 @@
         server.close();
     }
 
-    private void call(HttpClient by) {
+    private void sendRequest(HttpClient sender) {
         loop.execute(
                 () ->
-                        by.call(
+                        sender.call(
                                 3_000_000,
                                 new ResponseHandler() {
                                     @Override
-                                    public void responseReceived(HttpMessage m) {
-                                        ends.add("answered " + m.status());
+                                    public void responseReceived(HttpMessage response) {
+                                        outcomes.add("answered " + response.status());
                                     }
 
                                     @Override
-                                    public void exchangeFailed(ExchangeFailure how, String why) {
-                                        ends.add(how.name());
+                                    public void exchangeFailed(
+                                            ExchangeFailure failure, String detail) {
+                                        outcomes.add(failure.name());
                                     }
                                 },
                                 ByteBuffer.wrap(
@@ -76,86 +77,90 @@
                                                 .getBytes(StandardCharsets.US_ASCII))));
     }
 
-    private String end() throws Exception {
-        return ends.poll(10, TimeUnit.SECONDS);
+    private String awaitOutcome() throws Exception {
+        return outcomes.poll(10, TimeUnit.SECONDS);
     }
 
-    private static void read(Socket s) throws Exception {
-        byte[] some = new byte[1_000];
-        int n = 0;
-        while (!new String(some, 0, n, StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
-            n += s.getInputStream().read(some, n, some.length - n);
+    private static void readRequestHead(Socket socket) throws Exception {
+        byte[] head = new byte[1_000];
+        int length = 0;
+        while (!new String(head, 0, length, StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
+            length += socket.getInputStream().read(head, length, head.length - length);
         }
     }
 
-    private void answer(Socket s) throws Exception {
-        read(s);
-        s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes());
+    private void respondOk(Socket socket) throws Exception {
+        readRequestHead(socket);
+        socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes());
     }
 
     @Test
-    void aKeptConnectionThatIsResetCostsItsNextRequestNothing() throws Exception {
-        call(client);
+    void requestAfterResetOfIdleConnectionSucceedsOnNewConnection() throws Exception {
+        sendRequest(client);
         Socket first = server.accept();
-        answer(first);
-        assertEquals("answered 200", end());
+        respondOk(first);
+        assertEquals("answered 200", awaitOutcome());
         first.setSoLinger(true, 0);
         first.close();
-        call(client);
+        sendRequest(client);
         Socket second = server.accept();
-        answer(second);
-        assertEquals("answered 200", end());
+        respondOk(second);
+        assertEquals("answered 200", awaitOutcome());
     }
 
     @Test
-    void aRequestThatWasReadIsNeverWrittenAgain() throws Exception {
-        call(client);
+    void requestResetAfterItWasReadFailsAndIsNotResent() throws Exception {
+        sendRequest(client);
         Socket first = server.accept();
-        read(first);
+        readRequestHead(first);
         first.setSoLinger(true, 0);
         first.close();
-        assertEquals("AFTER_FIRST_BYTE", end());
+        assertEquals("AFTER_FIRST_BYTE", awaitOutcome());
         server.setSoTimeout(200);
-        boolean another = true;
+        boolean opensAnotherConnection = true;
         try {
             server.accept();
         } catch (SocketTimeoutException none) {
-            another = false;
+            opensAnotherConnection = false;
         }
-        assertTrue(!another, "it may have run");
+        assertTrue(!opensAnotherConnection, "resent a request that the server may have processed");
     }
 
     @Test
-    void aRefusedConnectionIsReportedAsOne() throws Exception {
+    void refusedConnectionFailsWithNoConnection() throws Exception {
         server.close();
-        call(client);
-        assertEquals("NO_CONNECTION", end());
+        sendRequest(client);
+        assertEquals("NO_CONNECTION", awaitOutcome());
     }
 
     @Test
-    void connectionsOfSeveralClientsShareOneBoundAndIdleOnesGiveWay() throws Exception {
+    void sharedConnectionLimitFailsRequestWhileInUseAndClosesIdleConnectionForAnotherClient()
+            throws Exception {
         ConnectionLimit slots = new ConnectionLimit(1);
         HttpClient one = client(server.getLocalPort(), slots);
         HttpClient two = client(server.getLocalPort(), slots);
-        call(one);
+        sendRequest(one);
         Socket first = server.accept();
-        call(two);
-        assertEquals("NO_ROOM", end(), "the only connection is in use");
-        answer(first);
-        assertEquals("answered 200", end());
-        call(two);
-        answer(server.accept());
-        assertEquals("answered 200", end());
-        assertEquals(-1, first.getInputStream().read(), "the idle one gave way");
+        sendRequest(two);
+        assertEquals("NO_ROOM", awaitOutcome(), "limit of 1 connection is reached");
+        respondOk(first);
+        assertEquals("answered 200", awaitOutcome());
+        sendRequest(two);
+        respondOk(server.accept());
+        assertEquals("answered 200", awaitOutcome());
+        assertEquals(
+                -1,
+                first.getInputStream().read(),
+                "idle connection of the other client is still open");
     }
 
     @Test
-    void anAnswerThatStopsShortIsNotWaitedForWhereThatIsAsked() throws Exception {
+    void responseStalledBeyondLimitFailsAsMalformedAndResetsConnection() throws Exception {
         client.withResponseStallMicros(100_000);
-        call(client);
+        sendRequest(client);
         Socket first = server.accept();
-        read(first);
-        for (int i = 0; i < 6; i++) { // slow, yet it moves
+        readRequestHead(first);
+        for (int i = 0; i < 6; i++) { // 6 bytes every 30 ms, below the stall limit
             first.getOutputStream()
                     .write(
                             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
@@ -163,101 +168,106 @@
                                     .getBytes());
             Thread.sleep(30);
         }
-        assertEquals(0, ends.size(), "still on its way");
-        assertEquals("MALFORMED", end());
+        assertEquals(0, outcomes.size(), "failed while bytes still arrived");
+        assertEquals("MALFORMED", awaitOutcome());
         Assertions.assertThrows(
                 SocketException.class,
                 () -> first.getInputStream().read(),
-                "its connection is of no more use");
+                "connection was not reset");
     }
 
     @Test
-    void aSecondAnswerThatComesLateIsNotTakenForThatToTheNextRequest() throws Exception {
+    void lateDuplicateResponseIsCountedAsStrayAndNotGivenToNextRequest() throws Exception {
         client.withReuseDelayMicros(200_000);
-        BlockingQueue<String> bodies = new ArrayBlockingQueue<>(10);
+        BlockingQueue<String> bodiesOrFailures = new ArrayBlockingQueue<>(10);
+        // The second request follows right after the response to the first.
         loop.execute(
                 () ->
-                        ask(
+                        sendAndRecord(
                                 () -> null,
-                                bodies,
-                                () -> ask(() -> null, bodies, () -> {}))); // the next one at once
+                                bodiesOrFailures,
+                                () -> sendAndRecord(() -> null, bodiesOrFailures, () -> {})));
         Socket first = server.accept();
-        read(first);
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n";
-        first.getOutputStream().write((answer + "one").getBytes());
-        assertEquals("one", bodies.poll(10, TimeUnit.SECONDS));
+        readRequestHead(first);
+        String responseHead = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n";
+        first.getOutputStream().write((responseHead + "one").getBytes());
+        assertEquals("one", bodiesOrFailures.poll(10, TimeUnit.SECONDS));
         server.setSoTimeout(5_000);
-        Socket second = server.accept(); // in hand before the second answer comes
-        read(second);
-        first.getOutputStream().write((answer + "one").getBytes());
+        Socket second = server.accept(); // accepted before the duplicate response is sent
+        readRequestHead(second);
+        first.getOutputStream().write((responseHead + "one").getBytes());
         assertEquals(
                 -1,
                 first.getInputStream().read(),
-                "a connection that says more than it was asked is given up");
-        second.getOutputStream().write((answer + "two").getBytes());
-        assertEquals("two", bodies.poll(10, TimeUnit.SECONDS));
+                "connection with a stray response is still open");
+        second.getOutputStream().write((responseHead + "two").getBytes());
+        assertEquals("two", bodiesOrFailures.poll(10, TimeUnit.SECONDS));
         assertEquals(1, client.strayResponses());
     }
 
     @Test
-    void aRestedConnectionIsUsedAgain() throws Exception {
+    void connectionIsReusedAfterReuseDelay() throws Exception {
         client.withReuseDelayMicros(1);
-        call(client);
-        Socket only = server.accept();
-        answer(only);
-        assertEquals("answered 200", end());
-        call(client);
-        answer(only);
-        assertEquals("answered 200", end());
+        sendRequest(client);
+        Socket connection = server.accept();
+        respondOk(connection);
+        assertEquals("answered 200", awaitOutcome());
+        sendRequest(client);
+        respondOk(connection);
+        assertEquals("answered 200", awaitOutcome());
     }
 
     @Test
-    void whatIsWithdrawnBeforeItIsWrittenNeverLeaves() throws Exception {
-        BlockingQueue<String> bodies = new ArrayBlockingQueue<>(10);
-        loop.execute(() -> ask(() -> ExchangeFailure.NO_ROOM, bodies, () -> {}));
-        assertEquals("NO_ROOM", bodies.poll(10, TimeUnit.SECONDS));
-        AtomicInteger asked = new AtomicInteger();
+    void requestWithdrawnBeforeItsFirstByteIsNotSent() throws Exception {
+        BlockingQueue<String> bodiesOrFailures = new ArrayBlockingQueue<>(10);
+        loop.execute(
+                () -> sendAndRecord(() -> ExchangeFailure.NO_ROOM, bodiesOrFailures, () -> {}));
+        assertEquals("NO_ROOM", bodiesOrFailures.poll(10, TimeUnit.SECONDS));
+        AtomicInteger checks = new AtomicInteger();
         loop.execute(
                 () ->
-                        ask(
+                        sendAndRecord(
                                 () ->
-                                        asked.getAndIncrement() == 0
+                                        checks.getAndIncrement() == 0
                                                 ? null
                                                 : ExchangeFailure.CANCELLED,
-                                bodies,
+                                bodiesOrFailures,
                                 () -> {}));
-        assertEquals("CANCELLED", bodies.poll(10, TimeUnit.SECONDS));
-        try (Socket s = server.accept()) {
-            assertEquals(0, received(s), "the connection came up, and nothing was sent");
+        assertEquals("CANCELLED", bodiesOrFailures.poll(10, TimeUnit.SECONDS));
+        try (Socket socket = server.accept()) {
+            assertEquals(0, countReceivedBytes(socket), "bytes sent of the withdrawn request");
         }
     }
 
-    private static int received(Socket s) throws Exception {
+    private static int countReceivedBytes(Socket socket) throws Exception {
         int bytes = 0;
         try {
-            while (s.getInputStream().read() >= 0) {
+            while (socket.getInputStream().read() >= 0) {
                 bytes++;
             }
         } catch (SocketException reset) {
-            // what came before it counts
+            // bytes received before the reset count too
         }
         return bytes;
     }
 
-    private void ask(Withdrawal withdrawal, BlockingQueue<String> bodies, Runnable then) {
+    /** Sends a request and records its response body, or the name of its failure. */
+    private void sendAndRecord(
+            Withdrawal withdrawal, BlockingQueue<String> bodiesOrFailures, Runnable afterResponse) {
         client.call(
                 3_000_000,
                 withdrawal,
                 new ResponseHandler() {
                     @Override
-                    public void responseReceived(HttpMessage m) {
-                        bodies.add(new String(m.body(), StandardCharsets.US_ASCII));
-                        then.run();
+                    public void responseReceived(HttpMessage response) {
+                        bodiesOrFailures.add(
+                                new String(response.body(), StandardCharsets.US_ASCII));
+                        afterResponse.run();
                     }
 
                     @Override
-                    public void exchangeFailed(ExchangeFailure how, String why) {
-                        bodies.add(how.name());
+                    public void exchangeFailed(ExchangeFailure failure, String detail) {
+                        bodiesOrFailures.add(failure.name());
                     }
                 },
                 ByteBuffer.wrap(
--- a/src/test/java/waytrestle/http/HttpParserTest.java
+++ b/src/test/java/waytrestle/http/HttpParserTest.java
@@ -23,48 +23,63 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The parser: what it takes, what it refuses and by which status, and that splits do not matter.
+ * Which messages the parser accepts, with which status it rejects others, and that the split of the
+ * bytes into buffers makes no difference.
  */
 class HttpParserTest {
-    private static final HttpLimits SMALL = new HttpLimits(64, 4, 128, 32, 1, 1, 1, 1);
+    private static final HttpLimits SMALL_LIMITS = new HttpLimits(64, 4, 128, 32, 1, 1, 1, 1);
 
-    private static byte[] bytes(String text) {
+    /** Returns the bytes of a message whose line ends are written as {@code |}. */
+    private static byte[] toBytes(String text) {
         return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static List<String> parse(HttpParser parser, byte[] all, int[] cuts) {
-        List<String> out = new ArrayList<>();
+    /**
+     * Returns the messages parsed from bytes split at the given positions, and the error if any.
+     */
+    private static List<String> parse(HttpParser parser, byte[] all, int[] splits) {
+        List<String> results = new ArrayList<>();
         int from = 0;
         try {
-            for (int i = 0; i <= cuts.length; i++) {
+            for (int i = 0; i <= splits.length; i++) {
                 int to =
-                        i == cuts.length
+                        i == splits.length
                                 ? all.length
-                                : Math.max(from, Math.min(all.length, cuts[i]));
+                                : Math.max(from, Math.min(all.length, splits[i]));
                 ByteBuffer in = ByteBuffer.wrap(all, from, to - from);
-                for (HttpMessage m = parser.next(in); m != null; m = parser.next(in)) {
-                    out.add(describe(m));
+                for (HttpMessage message = parser.next(in);
+                        message != null;
+                        message = parser.next(in)) {
+                    results.add(describe(message));
                 }
                 assertEquals(0, in.remaining());
                 from = to;
             }
         } catch (HttpError e) {
-            out.add(e.status() + " " + e.getMessage());
+            results.add(e.status() + " " + e.getMessage());
         }
-        return out;
+        return results;
     }
 
-    private static String describe(HttpMessage m) {
-        StringBuilder out = new StringBuilder(m.method() + " " + m.target() + " " + m.status());
-        for (int i = 0; i < m.headerCount(); i++) {
-            out.append(" ").append(m.headerName(i)).append('=').append(m.headerValue(i));
+    private static String describe(HttpMessage message) {
+        StringBuilder text =
+                new StringBuilder(
+                        message.method() + " " + message.target() + " " + message.status());
+        for (int i = 0; i < message.headerCount(); i++) {
+            text.append(" ")
+                    .append(message.headerName(i))
+                    .append('=')
+                    .append(message.headerValue(i));
         }
-        return out + " " + new String(m.body(), StandardCharsets.ISO_8859_1);
+        return text + " " + new String(message.body(), StandardCharsets.ISO_8859_1);
     }
 
-    private static int status(String text) {
-        HttpParser parser = HttpParser.requests(SMALL);
-        return assertThrows(HttpError.class, () -> parser.next(ByteBuffer.wrap(bytes(text))), text)
+    private static int rejectionStatus(String request) {
+        HttpParser parser = HttpParser.requests(SMALL_LIMITS);
+        return assertThrows(
+                        HttpError.class,
+                        () -> parser.next(ByteBuffer.wrap(toBytes(request))),
+                        request)
                 .status();
     }
 
@@ -103,24 +118,24 @@
                     + " 12345678901234567890123456789012345678901234567890123456789012345678901234567890"
                     + "1234567890123456789012345678901234567890123456789012345678901234567890||"
             })
-    void refusesWhatTwoReadersCouldReadDifferently(int expected, String text) {
-        assertEquals(expected, status(text));
+    void rejectsAmbiguousMalformedOrOversizedRequests(int expectedStatus, String request) {
+        assertEquals(expectedStatus, rejectionStatus(request));
     }
 
     @Test
-    void refusesBareEndsOfLines() {
-        assertEquals(400, status("GET / HTTP/1.1\nHost: a\n\n"));
-        assertEquals(400, status("GET / HTTP/1.1\rHost: a||"));
-        assertEquals(400, status("GET / HTTP/1.1|Host: a\u0000b||"));
+    void rejectsBareCrBareLfAndControlCharacters() {
+        assertEquals(400, rejectionStatus("GET / HTTP/1.1\nHost: a\n\n"));
+        assertEquals(400, rejectionStatus("GET / HTTP/1.1\rHost: a||"));
+        assertEquals(400, rejectionStatus("GET / HTTP/1.1|Host: a\u0000b||"));
     }
 
     @Test
-    void takesChunksWithExtensionsAndDropsTrailers() {
-        HttpParser parser = HttpParser.requests(SMALL);
+    void parsesChunksWithExtensionsAndDiscardsTrailers() {
+        HttpParser parser = HttpParser.requests(SMALL_LIMITS);
         HttpMessage m =
                 parser.next(
                         ByteBuffer.wrap(
-                                bytes(
+                                toBytes(
                                         "POST /p?q=1 HTTP/1.1|Host: a|Transfer-Encoding:"
                                             + " chunked||3;x=y|abc|A|0123456789|0|T: dropped||")));
         assertArrayEquals("abc0123456789".getBytes(), m.body());
@@ -131,40 +146,40 @@
     }
 
     @Test
-    void sameLengthTwiceIsThatLength() {
+    void acceptsRepeatedEqualContentLength() {
         HttpMessage m =
-                HttpParser.requests(SMALL)
+                HttpParser.requests(SMALL_LIMITS)
                         .next(
                                 ByteBuffer.wrap(
-                                        bytes(
+                                        toBytes(
                                                 "POST / HTTP/1.1|Host: a|Content-Length:"
                                                         + " 2|Content-Length: 2||ab")));
         assertEquals(2, m.body().length);
     }
 
     @Test
-    void aClaimedLengthTakesNoMemoryBeforeItsBytesCome() {
+    void announcedContentLengthAllocatesNoMemoryBeforeBytesArrive() {
         HttpLimits large = new HttpLimits(1_000, 10, 1_000, 1 << 30, 1, 1, 1, 1);
-        List<HttpParser> many = new ArrayList<>();
-        for (int i = 0; i < 1_000; i++) { // a gigabyte each, if claims were believed
+        List<HttpParser> parsers = new ArrayList<>();
+        for (int i = 0; i < 1_000; i++) { // 1 GB each if the announced length were allocated
             HttpParser parser = HttpParser.requests(large);
             assertNull(
                     parser.next(
                             ByteBuffer.wrap(
-                                    bytes(
+                                    toBytes(
                                             "POST / HTTP/1.1|Host: a|Content-Length:"
                                                     + " 1000000000||x"))));
-            many.add(parser);
+            parsers.add(parser);
         }
-        assertEquals(1_000, many.size());
+        assertEquals(1_000, parsers.size());
     }
 
     @Test
-    void anAnswerWithoutLengthEndsWithItsConnection() {
-        HttpParser parser = HttpParser.responses(SMALL);
-        assertNull(parser.next(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK||abc"))));
+    void responseWithoutLengthEndsAtConnectionClose() {
+        HttpParser parser = HttpParser.responses(SMALL_LIMITS);
+        assertNull(parser.next(ByteBuffer.wrap(toBytes("HTTP/1.1 200 OK||abc"))));
         assertArrayEquals("abc".getBytes(), parser.finishAtClose().body());
-        assertNull(HttpParser.responses(SMALL).finishAtClose());
+        assertNull(HttpParser.responses(SMALL_LIMITS).finishAtClose());
     }
 
     @Provide
@@ -184,7 +199,7 @@
                         .list()
                         .ofMaxSize(2)
                         .map(l -> String.join("", l));
-        Arbitrary<String> plain =
+        Arbitrary<String> fixedLength =
                 Combinators.combine(heads, body)
                         .as(
                                 (h, b) ->
@@ -215,29 +230,30 @@
                                                                     .append('|'));
                                     return out + "0||";
                                 });
-        Arbitrary<String> noise =
+        Arbitrary<String> randomText =
                 Arbitraries.strings().withChars("GET /HTP1.:|\r\n a0;").ofMaxLength(60);
         return Arbitraries.frequencyOf(
-                Tuple.of(4, plain), Tuple.of(4, chunked), Tuple.of(1, noise));
+                Tuple.of(4, fixedLength), Tuple.of(4, chunked), Tuple.of(1, randomText));
     }
 
     /**
-     * Also for noise: the same messages and the same error, at whatever places the bytes are split.
+     * Valid messages and random text give the same messages and the same error, wherever the bytes
+     * are split.
      */
     @Property(tries = 1_000, seed = "7715997163351985491")
-    void anySplitGivesTheSame(
+    void anySplitOfTheBytesGivesSameMessagesAndError(
             @ForAll("messages") List<String> messages,
-            @ForAll List<@IntRange(min = 0, max = 400) Integer> cuts) {
-        byte[] all = bytes(String.join("", messages));
+            @ForAll List<@IntRange(min = 0, max = 400) Integer> splits) {
+        byte[] all = toBytes(String.join("", messages));
         HttpLimits limits = new HttpLimits(200, 8, 300, 100, 1, 1, 1, 1);
         List<String> whole = parse(HttpParser.requests(limits), all, new int[0]);
-        int[] some = cuts.stream().mapToInt(i -> i).sorted().toArray();
-        assertEquals(whole, parse(HttpParser.requests(limits), all, some));
-        int[] each = new int[all.length];
-        for (int i = 0; i < each.length; i++) {
-            each[i] = i;
+        int[] randomSplits = splits.stream().mapToInt(i -> i).sorted().toArray();
+        assertEquals(whole, parse(HttpParser.requests(limits), all, randomSplits));
+        int[] singleBytes = new int[all.length];
+        for (int i = 0; i < singleBytes.length; i++) {
+            singleBytes[i] = i;
         }
-        assertEquals(whole, parse(HttpParser.requests(limits), all, each));
+        assertEquals(whole, parse(HttpParser.requests(limits), all, singleBytes));
     }
 
     @Provide
--- a/src/test/java/waytrestle/http/HttpServerTest.java
+++ b/src/test/java/waytrestle/http/HttpServerTest.java
@@ -27,19 +27,24 @@
 import org.junit.jupiter.api.Test;
 import waytrestle.net.Loop;
 
-/** The server on its socket: an echo, spoken to by the JDK's client and by hand. */
+/**
+ * The server on its socket, with the JDK's HTTP client and plain sockets as clients. The handler
+ * echoes request bodies, except at the paths named in {@link #start}.
+ */
 class HttpServerTest {
-    private final List<Throwable> broken = new ArrayList<>();
-    private final CountDownLatch gone = new CountDownLatch(1);
-    private static final int HUGE =
-            32 << 20; // bytes: several times what both ends of a socket hold
-    private final AtomicInteger handled = new AtomicInteger();
+    private final List<Throwable> loopErrors = new ArrayList<>();
+    private final CountDownLatch clientDisconnected = new CountDownLatch(1);
+
+    /** Several times what the buffers of both ends of a socket hold. */
+    private static final int HUGE_BODY_BYTES = 32 << 20;
+
+    private final AtomicInteger goneRequestsHandled = new AtomicInteger();
     private Loop loop;
     private HttpServer server;
 
     @BeforeEach
     void start() throws Exception {
-        loop = new Loop("test", broken::add);
+        loop = new Loop("test", loopErrors::add);
         HttpLimits limits =
                 new HttpLimits(1_000, 20, 4_000, 100_000, 400_000, 400_000, 5_000_000, 5_000_000);
         server =
@@ -48,37 +53,38 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         limits,
                         3,
-                        e -> {
-                            if (e.message().path().equals("/never")) {
-                                e.onClientDisconnect(gone::countDown);
+                        exchange -> {
+                            if (exchange.message().path().equals("/never")) {
+                                exchange.onClientDisconnect(clientDisconnected::countDown);
                                 return;
                             }
-                            if (e.message().path().equals("/huge")) {
-                                e.answer(200, "", new byte[HUGE]);
+                            if (exchange.message().path().equals("/huge")) {
+                                exchange.answer(200, "", new byte[HUGE_BODY_BYTES]);
                                 return;
                             }
-                            if (e.message().path().equals("/gone")) {
-                                handled.incrementAndGet();
+                            if (exchange.message().path().equals("/gone")) {
+                                goneRequestsHandled.incrementAndGet();
                             }
-                            if (e.message().path().equals("/waited")) {
-                                e.answer(
+                            if (exchange.message().path().equals("/waited")) {
+                                exchange.answer(
                                         200,
                                         "",
                                         new byte[0],
                                         "X-Waited",
-                                        Long.toString(Loop.now() - e.earliestSentAtMicros()));
+                                        Long.toString(
+                                                Loop.now() - exchange.earliestSentAtMicros()));
                                 return;
                             }
-                            if (e.message().path().equals("/later")) {
-                                loop.after(150_000, () -> e.answer(200, "", new byte[0]));
+                            if (exchange.message().path().equals("/later")) {
+                                loop.after(150_000, () -> exchange.answer(200, "", new byte[0]));
                                 return;
                             }
-                            e.answer(
+                            exchange.answer(
                                     200,
                                     "application/octet-stream",
-                                    e.message().body(),
+                                    exchange.message().body(),
                                     "X-Path",
-                                    e.message().path());
+                                    exchange.message().path());
                         });
         loop.start();
     }
@@ -87,21 +93,21 @@
     void stop() throws Exception {
         loop.stop();
         loop.join(5_000);
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), loopErrors);
     }
 
-    private Socket socket() throws Exception {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), server.port());
-        s.setSoTimeout(5_000);
-        return s;
+    private Socket connect() throws Exception {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
+        socket.setSoTimeout(5_000);
+        return socket;
     }
 
-    private static String all(Socket s) throws Exception {
-        return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private static String readToEnd(Socket socket) throws Exception {
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void agreesWithTheJdkClientOnValidMessages() throws Exception {
+    void echoesBodiesOfJdkClientWithFixedAndChunkedLength() throws Exception {
         java.net.http.HttpClient client =
                 java.net.http.HttpClient.newBuilder()
                         .version(java.net.http.HttpClient.Version.HTTP_1_1)
@@ -131,8 +137,8 @@
     }
 
     @Test
-    void fiftyPipelinedCallsAreAnsweredInOrder() throws Exception {
-        try (Socket s = socket()) {
+    void fiftyPipelinedRequestsGetResponsesInOrder() throws Exception {
+        try (Socket socket = connect()) {
             StringBuilder out = new StringBuilder();
             for (int i = 0; i < 50; i++) {
                 out.append("POST /p")
@@ -143,23 +149,24 @@
                         .append(i % 10)
                         .append("x");
             }
-            s.getOutputStream().write(out.toString().getBytes());
-            String got = all(s);
-            int at = -1;
+            socket.getOutputStream().write(out.toString().getBytes());
+            String received = readToEnd(socket);
+            int position = -1;
             for (int i = 0; i < 50; i++) {
-                int next = got.indexOf("X-Path: /p" + i + "\r\n");
-                assertTrue(next > at, "answer " + i + " is missing or early");
-                at = next;
+                int nextPosition = received.indexOf("X-Path: /p" + i + "\r\n");
+                assertTrue(
+                        nextPosition > position, "response " + i + " is missing or out of order");
+                position = nextPosition;
             }
         }
     }
 
     /**
-     * What waits here costs its client time: a stalled loop and messages sent ahead are told as
-     * such.
+     * Guards against deadlines that ignore time spent before the server reads a request: while the
+     * event loop is stalled, and while an earlier request of the connection is in flight.
      */
     @Test
-    void aMessageTellsHowLongItMayHaveWaited() throws Exception {
+    void earliestSentTimeIncludesLoopStallAndWaitBehindPipelinedRequest() throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         loop.execute(
                 () -> {
@@ -171,8 +178,8 @@
                     }
                 });
         stalled.await();
-        try (Socket s = socket()) {
-            s.getOutputStream()
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write(
                             ("GET /waited HTTP/1.1\r\n"
                                             + "Host: a\r\n\r\n"
@@ -182,91 +189,98 @@
                                             + "Host: a\r\n"
                                             + "Connection: close\r\n\r\n")
                                     .getBytes());
-            String got = all(s);
-            long first = Long.parseLong(got.replaceAll("(?s).*?X-Waited: (\\d+).*", "$1"));
-            long second = Long.parseLong(got.replaceAll("(?s).*X-Waited: (\\d+).*", "$1"));
-            assertTrue(first >= 100_000, "the stall: " + first);
+            String received = readToEnd(socket);
+            long firstWaitMicros =
+                    Long.parseLong(received.replaceAll("(?s).*?X-Waited: (\\d+).*", "$1"));
+            long thirdWaitMicros =
+                    Long.parseLong(received.replaceAll("(?s).*X-Waited: (\\d+).*", "$1"));
+            assertTrue(
+                    firstWaitMicros >= 100_000,
+                    "micros waited by the first request, with the loop stall: " + firstWaitMicros);
             assertTrue(
-                    second >= 100_000 + 150_000, "the stall and the wait behind /later: " + second);
+                    thirdWaitMicros >= 100_000 + 150_000,
+                    "micros waited by the third request, with the loop stall and the 150 ms of"
+                            + " /later: "
+                            + thirdWaitMicros);
         }
     }
 
     @Test
-    void oneByteAtATimeIsAMessageToo() throws Exception {
-        try (Socket s = socket()) {
-            s.setTcpNoDelay(true);
+    void requestSentOneByteAtATimeIsServed() throws Exception {
+        try (Socket socket = connect()) {
+            socket.setTcpNoDelay(true);
             for (byte b :
                     "POST /slow HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
                             .getBytes()) {
-                s.getOutputStream().write(b);
+                socket.getOutputStream().write(b);
             }
-            assertTrue(all(s).endsWith("\r\n\r\nok"));
+            assertTrue(readToEnd(socket).endsWith("\r\n\r\nok"));
         }
     }
 
     @Test
-    void aStalledHeadAndAStalledBodyAreAnsweredAndClosed() throws Exception {
+    void stalledHeadOrBodyGetsStatus408AndClose() throws Exception {
         for (String sent :
                 new String[] {
                     "POST /x HTT", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc"
                 }) {
-            try (Socket s = socket()) {
-                s.getOutputStream().write(sent.getBytes());
-                assertTrue(all(s).startsWith("HTTP/1.1 408 "), sent);
+            try (Socket socket = connect()) {
+                socket.getOutputStream().write(sent.getBytes());
+                assertTrue(readToEnd(socket).startsWith("HTTP/1.1 408 "), sent);
             }
         }
     }
 
     @Test
-    void aBrokenMessageIsAnsweredWithAProblemThatNamesIt() throws Exception {
-        try (Socket s = socket()) {
-            s.getOutputStream()
+    void oversizedContentLengthGetsStatus413WithProblemNamingLimit() throws Exception {
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write(
                             "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 999999\r\n\r\n"
                                     .getBytes());
-            String got = all(s);
-            assertTrue(got.startsWith("HTTP/1.1 413 "), got);
+            String received = readToEnd(socket);
+            assertTrue(received.startsWith("HTTP/1.1 413 "), received);
             assertTrue(
-                    got.contains("application/problem+json")
-                            && got.contains("\"harmless\":true")
-                            && got.contains("100000 bytes"),
-                    got);
+                    received.contains("application/problem+json")
+                            && received.contains("\"harmless\":true")
+                            && received.contains("100000 bytes"),
+                    received);
         }
     }
 
     @Test
-    void aConnectionTooManyIsTurnedAwayWithAWord() throws Exception {
+    void connectionBeyondLimitGetsStatus503() throws Exception {
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Socket s = socket();
-            held.add(s);
-            s.getOutputStream()
+            Socket socket = connect();
+            held.add(socket);
+            socket.getOutputStream()
                     .write("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".getBytes());
-            assertEquals('H', s.getInputStream().read());
+            assertEquals('H', socket.getInputStream().read());
         }
-        try (Socket s = socket()) {
-            assertTrue(all(s).startsWith("HTTP/1.1 503 "));
+        try (Socket socket = connect()) {
+            assertTrue(readToEnd(socket).startsWith("HTTP/1.1 503 "));
         }
-        for (Socket s : held) {
-            s.close();
+        for (Socket socket : held) {
+            socket.close();
         }
     }
 
     @Test
-    void aClientThatHangsUpIsToldOf() throws Exception {
-        try (Socket s = socket()) {
-            s.getOutputStream().write("GET /never HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
+    void disconnectBeforeResponseRunsDisconnectListener() throws Exception {
+        try (Socket socket = connect()) {
+            socket.getOutputStream().write("GET /never HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
             Thread.sleep(50);
         }
-        assertTrue(gone.await(5, TimeUnit.SECONDS));
+        assertTrue(clientDisconnected.await(5, TimeUnit.SECONDS));
     }
 
     @Test
-    void aBodyLargerThanASocketHoldsComesThroughWhole() throws Exception {
-        try (Socket s = socket()) {
+    void bodyOf100000BytesIsEchoedUnchanged() throws Exception {
+        try (Socket socket = connect()) {
             byte[] body = new byte[100_000];
             new Random(2).nextBytes(body);
-            OutputStream out = s.getOutputStream();
+            OutputStream out = socket.getOutputStream();
             out.write(
                     ("POST /big HTTP/1.1\r\n"
                                     + "Host: a\r\n"
@@ -274,166 +288,175 @@
                                     + "Content-Length: 100000\r\n\r\n")
                             .getBytes());
             out.write(body);
-            InputStream in = s.getInputStream();
-            byte[] got = in.readAllBytes();
-            assertArrayEquals(body, Arrays.copyOfRange(got, got.length - body.length, got.length));
+            InputStream in = socket.getInputStream();
+            byte[] received = in.readAllBytes();
+            assertArrayEquals(
+                    body,
+                    Arrays.copyOfRange(received, received.length - body.length, received.length));
         }
     }
 
     /**
-     * Runs on the loop with the clients' next steps done behind its back: what they sent lies in
-     * the kernel.
+     * Blocks the event loop while the clients act, so that their bytes stay in the kernel, then
+     * runs the server's step on the loop before it reads anything.
      */
-    private void behindTheLoop(Step clients, Runnable then) throws Exception {
-        CountDownLatch held = new CountDownLatch(1),
-                done = new CountDownLatch(1),
-                over = new CountDownLatch(1);
+    private void whileLoopIsBlocked(ClientAction clients, Runnable serverStep) throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1),
+                clientsDone = new CountDownLatch(1),
+                serverStepDone = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    loopBlocked.countDown();
                     try {
-                        done.await();
+                        clientsDone.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
-                    then.run();
-                    over.countDown();
+                    serverStep.run();
+                    serverStepDone.countDown();
                 });
-        held.await();
+        loopBlocked.await();
         try {
-            clients.take();
+            clients.run();
         } finally {
-            done.countDown();
+            clientsDone.countDown();
         }
-        over.await();
+        serverStepDone.await();
     }
 
-    private interface Step {
-        void take() throws Exception;
+    private interface ClientAction {
+        void run() throws Exception;
     }
 
-    private static final String ECHO = "POST /e HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
+    private static final String ECHO_REQUEST =
+            "POST /e HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
 
-    /** A connection that has asked once. */
-    private Socket used() throws Exception {
-        Socket s = socket();
-        s.getOutputStream().write(ECHO.getBytes());
-        answered(s);
-        return s;
+    /** Returns a connection on which one request was answered. */
+    private Socket connectAndExchangeOnce() throws Exception {
+        Socket socket = connect();
+        socket.getOutputStream().write(ECHO_REQUEST.getBytes());
+        assertOkResponseHead(socket);
+        return socket;
     }
 
-    private static void answered(Socket s) throws Exception {
-        StringBuilder got = new StringBuilder();
-        while (!got.toString().endsWith("\r\n\r\n")) {
-            int c = s.getInputStream().read();
-            assertTrue(c >= 0, "closed after '" + got + "'");
-            got.append((char) c);
+    private static void assertOkResponseHead(Socket socket) throws Exception {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("\r\n\r\n")) {
+            int c = socket.getInputStream().read();
+            assertTrue(c >= 0, "connection closed after '" + received + "'");
+            received.append((char) c);
         }
-        assertTrue(got.toString().startsWith("HTTP/1.1 200 "), got.toString());
+        assertTrue(received.toString().startsWith("HTTP/1.1 200 "), received.toString());
     }
 
     @Test
-    void aRequestThatCrossesTheIdleCloseAtTheEndIsAnswered() throws Exception {
-        try (Socket asks = used();
-                Socket silent = used()) {
-            behindTheLoop(
-                    () -> asks.getOutputStream().write(ECHO.getBytes()),
+    void requestInKernelBufferAtShutdownIsServedWhileIdleConnectionCloses() throws Exception {
+        try (Socket requesting = connectAndExchangeOnce();
+                Socket idle = connectAndExchangeOnce()) {
+            whileLoopIsBlocked(
+                    () -> requesting.getOutputStream().write(ECHO_REQUEST.getBytes()),
                     () -> {
                         server.stopAccepting();
                         server.closeIdle();
                     });
-            answered(asks);
-            assertEquals(-1, silent.getInputStream().read(), "the idle one is closed");
+            assertOkResponseHead(requesting);
+            assertEquals(-1, idle.getInputStream().read(), "idle connection is still open");
         }
     }
 
     @Test
-    void aConnectionThatIsAboutToGiveWayIsKeptWhenItsRequestHasCome() throws Exception {
+    void evictionSparesConnectionWithUnreadRequest() throws Exception {
         server.withIdleEviction();
-        try (Socket asks = used();
-                Socket idle = used();
-                Socket third = used()) {
-            List<Socket> another = new ArrayList<>();
-            behindTheLoop(
+        try (Socket requesting = connectAndExchangeOnce();
+                Socket idle = connectAndExchangeOnce();
+                Socket third = connectAndExchangeOnce()) {
+            List<Socket> added = new ArrayList<>();
+            whileLoopIsBlocked(
                     () -> {
-                        asks.getOutputStream()
-                                .write(ECHO.getBytes()); // idle for longest, until now
-                        another.add(socket());
+                        requesting
+                                .getOutputStream()
+                                .write(
+                                        ECHO_REQUEST
+                                                .getBytes()); // idle for longest until this request
+                        added.add(connect());
                     },
-                    server::stopAccepting); // takes what has come, before anything is read
-            answered(asks);
-            another.get(0).getOutputStream().write(ECHO.getBytes());
-            answered(another.get(0));
-            another.get(0).close();
+                    server::stopAccepting); // accepts the new connection before the request is read
+            assertOkResponseHead(requesting);
+            added.get(0).getOutputStream().write(ECHO_REQUEST.getBytes());
+            assertOkResponseHead(added.get(0));
+            added.get(0).close();
         }
     }
 
     @Test
-    void anAnswerThatASlowReaderHasNotTakenCountsAsUnderWayUntilItHas() throws Exception {
-        try (Socket s = socket()) {
-            s.getOutputStream()
+    void connectionIsBusyUntilSlowReaderHasReadResponse() throws Exception {
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write("GET /huge HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n".getBytes());
-            assertEquals('H', s.getInputStream().read());
-            assertEquals(1, busy(), "more than the kernel takes: an end now would cut it");
-            assertTrue(s.getInputStream().readAllBytes().length > HUGE);
-            assertEquals(0, busy());
+            assertEquals('H', socket.getInputStream().read());
+            assertEquals(
+                    1,
+                    busyConnections(),
+                    "connection with a response that exceeds the kernel's buffers");
+            assertTrue(socket.getInputStream().readAllBytes().length > HUGE_BODY_BYTES);
+            assertEquals(0, busyConnections());
         }
     }
 
-    private int busy() throws Exception {
-        CompletableFuture<Integer> told = new CompletableFuture<>();
-        loop.execute(() -> told.complete(server.busyConnections()));
-        return told.get(5, TimeUnit.SECONDS);
+    private int busyConnections() throws Exception {
+        CompletableFuture<Integer> result = new CompletableFuture<>();
+        loop.execute(() -> result.complete(server.busyConnections()));
+        return result.get(5, TimeUnit.SECONDS);
     }
 
     @Test
-    void ofAClientThatLeftWhileTheLoopWasBusyNothingIsTaken() throws Exception {
-        behindTheLoop(
+    void requestOfClientThatDisconnectedDuringLoopStallIsNotHandled() throws Exception {
+        whileLoopIsBlocked(
                 () -> {
-                    try (Socket s = socket()) {
-                        s.getOutputStream()
+                    try (Socket socket = connect()) {
+                        socket.getOutputStream()
                                 .write("GET /gone HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
                     }
                     Thread.sleep(80);
                 },
                 () -> {});
-        used().close(); // a later turn, so the one before is over
-        assertEquals(0, handled.get());
+        connectAndExchangeOnce().close(); // served in a later turn of the loop than the disconnect
+        assertEquals(0, goneRequestsHandled.get());
     }
 
     @Test
-    void aClientThatEndsItsSideAtOnceIsAnsweredWhereTheLoopIsFree() throws Exception {
-        try (Socket s = socket()) {
-            s.getOutputStream().write(ECHO.getBytes());
-            s.shutdownOutput();
-            answered(s);
+    void halfClosedClientGetsResponseWhenLoopIsNotBehind() throws Exception {
+        try (Socket socket = connect()) {
+            socket.getOutputStream().write(ECHO_REQUEST.getBytes());
+            socket.shutdownOutput();
+            assertOkResponseHead(socket);
         }
     }
 
     @Test
-    void aClientIsSeenToLeaveThoughWhatItSentAheadFillsTheBuffer() throws Exception {
+    void disconnectListenerRunsWhenPipelinedInputFillsBuffer() throws Exception {
         server.withResetOnFullInput();
-        try (Socket s = socket()) {
-            s.getOutputStream().write("GET /never HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
-            s.getOutputStream().write(ECHO.repeat(1_000).getBytes());
+        try (Socket socket = connect()) {
+            socket.getOutputStream().write("GET /never HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
+            socket.getOutputStream().write(ECHO_REQUEST.repeat(1_000).getBytes());
         } catch (SocketException closed) {
-            // it was cut off for it
+            // the server reset the connection as its input buffer was full
         }
-        assertTrue(gone.await(5, TimeUnit.SECONDS));
+        assertTrue(clientDisconnected.await(5, TimeUnit.SECONDS));
     }
 
     @Test
-    void aRefusalIsReadableByAClientThatFirstSendsAllItHas() throws Exception {
-        try (Socket s = socket()) {
-            s.getOutputStream()
+    void refusalIsReadableByClientThatKeepsSendingBody() throws Exception {
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write(
                             "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
                                     .getBytes());
             for (int i = 0; i < 25; i++) {
-                s.getOutputStream().write(new byte[100_000]);
-                Thread.sleep(20); // half a second in all
+                socket.getOutputStream().write(new byte[100_000]);
+                Thread.sleep(20); // 0.5 s in all
             }
-            assertTrue(all(s).startsWith("HTTP/1.1 413 "));
+            assertTrue(readToEnd(socket).startsWith("HTTP/1.1 413 "));
         }
     }
 }
--- a/src/test/java/waytrestle/http/PeerEndDetectorTest.java
+++ b/src/test/java/waytrestle/http/PeerEndDetectorTest.java
@@ -5,28 +5,28 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When closed connections tell of the end of a process. */
+/** Which closes of idle connections are taken for the end of the peer's process. */
 class PeerEndDetectorTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final PeerEndDetector detector = new PeerEndDetector();
 
     @Test
-    void anIdleConnectionUsedLatelyTellsTheEndOnce() {
-        detector.idleConnectionClosed(10 * SECOND, 9 * SECOND);
-        assertTrue(detector.consumeProcessEnd(10 * SECOND));
-        assertFalse(detector.consumeProcessEnd(10 * SECOND));
+    void reportsProcessEndOnceWhenRecentlyUsedIdleConnectionCloses() {
+        detector.idleConnectionClosed(10 * SECOND_MICROS, 9 * SECOND_MICROS);
+        assertTrue(detector.consumeProcessEnd(10 * SECOND_MICROS));
+        assertFalse(detector.consumeProcessEnd(10 * SECOND_MICROS));
     }
 
     @Test
-    void aConnectionThatAServerMayHaveClosedForItsAgeTellsNothing() {
-        detector.idleConnectionClosed(10 * SECOND, 5 * SECOND);
-        assertFalse(detector.consumeProcessEnd(10 * SECOND));
+    void ignoresCloseOfConnectionIdleBeyondServerTimeout() {
+        detector.idleConnectionClosed(10 * SECOND_MICROS, 5 * SECOND_MICROS);
+        assertFalse(detector.consumeProcessEnd(10 * SECOND_MICROS));
     }
 
     @Test
-    void connectionsThatCloseOneAfterTheOtherTellNothing() {
-        detector.idleConnectionClosed(10 * SECOND, 9 * SECOND);
-        assertFalse(detector.consumeProcessEnd(11 * SECOND));
+    void ignoresCloseOutsideProcessEndWindow() {
+        detector.idleConnectionClosed(10 * SECOND_MICROS, 9 * SECOND_MICROS);
+        assertFalse(detector.consumeProcessEnd(11 * SECOND_MICROS));
     }
 }
--- a/src/test/java/waytrestle/http/WithdrawalCheckTest.java
+++ b/src/test/java/waytrestle/http/WithdrawalCheckTest.java
@@ -7,72 +7,76 @@
 
 import org.junit.jupiter.api.Test;
 
-/** An answer from before a stop of the process counts for nothing. */
+/** Guards against a request that is sent on a check result from before a pause of the process. */
 class WithdrawalCheckTest {
-    private static final long STOP_MICROS = 3_600_000;
+    private static final long PAUSE_MICROS = 3_600_000;
 
     private long nowMicros;
-    private int questions;
-    private long delayedMicros;
+    private int checks;
+    private long reportedDelayMicros;
 
-    private WithdrawalCheck stoppedDuring(int stoppedQuestions, ExchangeFailure afterwards) {
+    /**
+     * Returns a check during whose first calls the process pauses and the request is not withdrawn;
+     * later calls give {@code resultAfterwards}.
+     */
+    private WithdrawalCheck checkPausedDuring(int pausedChecks, ExchangeFailure resultAfterwards) {
         Withdrawal withdrawal =
                 new Withdrawal() {
                     @Override
                     public ExchangeFailure failureIfWithdrawn() {
-                        questions++;
-                        if (questions > stoppedQuestions) {
-                            return afterwards;
+                        checks++;
+                        if (checks > pausedChecks) {
+                            return resultAfterwards;
                         }
-                        nowMicros += STOP_MICROS;
+                        nowMicros += PAUSE_MICROS;
                         return null;
                     }
 
                     @Override
                     public void writeDelayed(long micros) {
-                        delayedMicros = micros;
+                        reportedDelayMicros = micros;
                     }
                 };
         return new WithdrawalCheck(withdrawal, () -> nowMicros);
     }
 
     @Test
-    void anAnswerThatTookNoTimeCounts() {
-        assertNull(stoppedDuring(0, null).failureIfWithdrawn());
-        assertEquals(1, questions);
+    void checksOnceWhenProcessIsNotPaused() {
+        assertNull(checkPausedDuring(0, null).failureIfWithdrawn());
+        assertEquals(1, checks);
     }
 
     @Test
-    void aQuestionDuringWhichTheProcessWasStoppedIsAskedAgain() {
+    void checksAgainAfterPauseDuringCheck() {
         assertEquals(
                 ExchangeFailure.NO_ROOM,
-                stoppedDuring(1, ExchangeFailure.NO_ROOM).failureIfWithdrawn());
-        assertEquals(2, questions);
+                checkPausedDuring(1, ExchangeFailure.NO_ROOM).failureIfWithdrawn());
+        assertEquals(2, checks);
     }
 
     @Test
-    void theNumberOfQuestionsIsBounded() {
-        assertNull(stoppedDuring(Integer.MAX_VALUE, null).failureIfWithdrawn());
-        assertEquals(3, questions);
+    void sendsAfterThreeChecksThatWereAllPaused() {
+        assertNull(checkPausedDuring(Integer.MAX_VALUE, null).failureIfWithdrawn());
+        assertEquals(3, checks);
     }
 
     @Test
-    void anAnswerIsOutdatedByAStopBehindIt() {
-        WithdrawalCheck check = stoppedDuring(0, null);
+    void checkIsOutdatedByPauseAfterIt() {
+        WithdrawalCheck check = checkPausedDuring(0, null);
         check.failureIfWithdrawn();
         assertFalse(check.isOutdated());
-        nowMicros += STOP_MICROS;
+        nowMicros += PAUSE_MICROS;
         assertTrue(check.isOutdated());
     }
 
     @Test
-    void aStopBetweenTheLastQuestionAndTheWriteIsTold() {
-        WithdrawalCheck check = stoppedDuring(0, null);
+    void reportsPauseBetweenLastCheckAndWrite() {
+        WithdrawalCheck check = checkPausedDuring(0, null);
         check.failureIfWithdrawn();
         check.requestWritten();
-        assertEquals(0, delayedMicros);
-        nowMicros += STOP_MICROS;
+        assertEquals(0, reportedDelayMicros);
+        nowMicros += PAUSE_MICROS;
         check.requestWritten();
-        assertEquals(STOP_MICROS, delayedMicros);
+        assertEquals(PAUSE_MICROS, reportedDelayMicros);
     }
 }
