--- a/src/main/java/waytrestle/http/HttpClient.java
+++ b/src/main/java/waytrestle/http/HttpClient.java
@@ -22,7 +22,7 @@
  * on each. It reports how an exchange failed by what was seen on its connection; whether the peer
  * can have processed the request is for the caller to conclude.
  *
- * <p>Times are in microseconds of {@link Loop#now}. Not thread-safe: used by its event loop.
+ * <p>Times are in microseconds of {@link Loop#nowMicros}. Not thread-safe: used by its event loop.
  */
 public final class HttpClient {
     /** Connections tried for one request; more resets in a row are a fault of the peer. */
@@ -168,7 +168,7 @@
 
         private Call(ByteBuffer[] request, Withdrawal withdrawal, ResponseHandler handler) {
             this.request = new OutgoingRequest(request);
-            this.withdrawal = new WithdrawalCheck(withdrawal, Loop::now);
+            this.withdrawal = new WithdrawalCheck(withdrawal, Loop::nowMicros);
             this.handler = handler;
         }
 
@@ -213,8 +213,7 @@
     }
 
     /**
-     * Sends a request that the caller may withdraw until its first byte is written, however late a
-     * connection is established.
+     * Sends a request that the caller may withdraw until its first byte is written.
      *
      * @param timeoutMicros time after which the exchange fails without a complete response
      * @param withdrawal tells right before the request is written whether it is withdrawn
@@ -261,13 +260,13 @@
      * least likely to have closed. Returns null without one.
      */
     private PooledConnection takeReusableConnection() {
-        long now = Loop.now();
+        long now = Loop.nowMicros();
         for (Iterator<PooledConnection> all = idle.descendingIterator(); all.hasNext(); ) {
             PooledConnection candidate = all.next();
             if (now - candidate.lastUsedAtMicros < reuseDelayMicros) {
                 continue;
             }
-            IdleState state = candidate.transport.idle();
+            IdleState state = candidate.transport.checkIdle();
             if (state == IdleState.UNKNOWN) {
                 continue; // polling failed: the connection stays idle for a later call
             }
@@ -313,13 +312,13 @@
 
         /** Returns whether an idle connection can be reused, after closing it if not. */
         private boolean checkReusable(IdleState state) {
-            if (state == IdleState.SPOKE) {
+            if (state == IdleState.UNEXPECTED_DATA) {
                 strayResponses++;
                 closeAndRelease();
             } else if (state == IdleState.ENDED) {
                 closed(null);
             }
-            return state == IdleState.FIT;
+            return state == IdleState.USABLE;
         }
 
         private void assign(Call next) {
@@ -331,7 +330,7 @@
         }
 
         private void writeRequest() {
-            writtenBytesBeforeRequest = transport.written();
+            writtenBytesBeforeRequest = transport.writtenBytes();
             ByteBuffer[] request = call.request.bytes();
             Call writing = call;
             if (!writing.withdrawal.isOutdated() || !writing.endIfWithdrawn()) {
@@ -343,7 +342,7 @@
         @Override
         public void connected() {
             isConnected = true;
-            connectedAtMicros = Loop.now();
+            connectedAtMicros = Loop.nowMicros();
             // While the connection was established, the caller may have withdrawn the request.
             if (call != null && !call.endIfWithdrawn()) {
                 writeRequest();
@@ -386,7 +385,10 @@
             call = null;
             // A duplicate response must not be taken for the response to the next request.
             boolean reusable =
-                    !closed && !moreFollows && message.keepsAlive() && transport.pending() == 0;
+                    !closed
+                            && !moreFollows
+                            && message.keepsAlive()
+                            && transport.pendingBytes() == 0;
             if (reusable) {
                 becomeIdle();
             } else {
@@ -396,7 +398,7 @@
         }
 
         private void becomeIdle() {
-            lastUsedAtMicros = Loop.now();
+            lastUsedAtMicros = Loop.nowMicros();
             idleTimer = loop.after(idleTimeoutMicros, this::closeAndRelease);
             idle.add(this);
             connectionLimit.addIdle(this, this::closeAndRelease);
@@ -446,9 +448,9 @@
 
         private void reportPeerEnd(boolean wasIdle) {
             if (wasIdle) {
-                peerEnd.idleConnectionClosed(Loop.now(), lastUsedAtMicros);
+                peerEnd.idleConnectionClosed(Loop.nowMicros(), lastUsedAtMicros);
             }
-            if (connections.isEmpty() && !closed && peerEnd.consumeProcessEnd(Loop.now())) {
+            if (connections.isEmpty() && !closed && peerEnd.consumeProcessEnd(Loop.nowMicros())) {
                 loop.after(0, peerEndListener);
             }
         }
@@ -457,7 +459,7 @@
             if (!isConnected) {
                 return ExchangeFailure.NO_CONNECTION;
             }
-            boolean nothingWritten = transport.written() == writtenBytesBeforeRequest;
+            boolean nothingWritten = transport.writtenBytes() == writtenBytesBeforeRequest;
             return nothingWritten
                     ? ExchangeFailure.BEFORE_FIRST_BYTE
                     : ExchangeFailure.AFTER_FIRST_BYTE;
--- a/src/main/java/waytrestle/http/HttpServer.java
+++ b/src/main/java/waytrestle/http/HttpServer.java
@@ -24,7 +24,7 @@
  * connection. Bytes of later requests stay in the connection's bounded buffer and then in the
  * kernel's.
  *
- * <p>Times are in microseconds of {@link Loop#now}. Not thread-safe: used by its event loop.
+ * <p>Times are in microseconds of {@link Loop#nowMicros}. Not thread-safe: used by its event loop.
  */
 public final class HttpServer {
     /** Handles the requests of a server. All methods are called on the event loop. */
@@ -194,7 +194,7 @@
     public void stopAccepting() {
         stopping = true;
         stoppedAccepting = true;
-        listener.takeAndClose();
+        listener.acceptPendingAndClose();
     }
 
     /** Closes the connections without a request in flight, also none in the kernel's buffer. */
@@ -252,7 +252,7 @@
 
     private void serve(SocketChannel channel, InetAddress from) {
         try {
-            Connection.accepted(
+            Connection.ofAccepted(
                     loop,
                     channel,
                     limits.headerBytes() + limits.startLineBytes(),
@@ -316,7 +316,7 @@
      * enough, otherwise the one whose last response is longest ago. Returns null if there is none.
      */
     private ClientConnection findEvictable() {
-        long now = Loop.now();
+        long now = Loop.nowMicros();
         ClientConnection best = null;
         for (ClientConnection client : clients.values()) {
             if (!client.mayBeEvicted()) {
@@ -417,7 +417,7 @@
 
         /** Returns the client's address and port for the log. */
         public String clientAddress() {
-            return client.connection.peer();
+            return client.connection.peerAddress();
         }
 
         /** Answers the request; see {@link #answer(int, String, Bytes, String...)}. */
@@ -470,10 +470,10 @@
         private Exchange exchange;
 
         /** Start of the present wait: for a request, the rest of a head or body, or a response. */
-        private long waitingSinceMicros = Loop.now();
+        private long waitingSinceMicros = Loop.nowMicros();
 
         private long messageSentSinceMicros;
-        private final long createdAtMicros = Loop.now();
+        private final long createdAtMicros = Loop.nowMicros();
         private boolean headChecked, closing, waitsForBodyBytes, unregistered, hadRequest;
         private TimerHeap.Timer waitTimer, firstRequestTimer;
 
@@ -495,12 +495,12 @@
             return connection.isOpen()
                     && exchange == null
                     && parser.isBetweenMessages()
-                    && connection.pending() == 0;
+                    && connection.pendingBytes() == 0;
         }
 
         private boolean isBusy() {
             return (!closing && (exchange != null || !parser.isBetweenMessages()))
-                    || connection.pending() > 0;
+                    || connection.pendingBytes() > 0;
         }
 
         private boolean mayBeEvicted() {
@@ -528,7 +528,7 @@
          */
         private void enforceTimeLimit() {
             long limitMicros =
-                    closing || connection.pending() > 0
+                    closing || connection.pendingBytes() > 0
                             ? limits.writeMicros()
                             : parser.isBetweenMessages()
                                     ? limits.idleMicros()
@@ -536,11 +536,13 @@
                                             ? limits.bodyMicros()
                                             : limits.headMicros();
             long startMicros =
-                    connection.pending() > 0 ? connection.lastMove() : waitingSinceMicros;
+                    connection.pendingBytes() > 0
+                            ? connection.lastTransferMicros()
+                            : waitingSinceMicros;
             long leftMicros =
-                    (exchange != null || waitsForBodyBytes) && connection.pending() == 0
+                    (exchange != null || waitsForBodyBytes) && connection.pendingBytes() == 0
                             ? limitMicros
-                            : startMicros + limitMicros - Loop.now();
+                            : startMicros + limitMicros - Loop.nowMicros();
             if (leftMicros > 0) {
                 waitTimer = loop.after(leftMicros, this::enforceTimeLimit);
                 return;
@@ -548,13 +550,13 @@
             TimerHeap.Timer timerBeforePoll = waitTimer;
             if (parser.isBetweenMessages()
                     && !closing
-                    && connection.pending() == 0
+                    && connection.pendingBytes() == 0
                     && !isUnused()) {
                 if (connection.isOpen() && waitTimer == timerBeforePoll) {
                     enforceTimeLimit(); // the poll found bytes of a request
                 }
-            } else if (parser.isBetweenMessages() || connection.pending() > 0 || closing) {
-                countTurnedAway(connection.pending() > 0 ? "slow_reader" : "idle");
+            } else if (parser.isBetweenMessages() || connection.pendingBytes() > 0 || closing) {
+                countTurnedAway(connection.pendingBytes() > 0 ? "slow_reader" : "idle");
                 close();
             } else {
                 countTurnedAway(parser.isReadingBody() ? "slow_body" : "slow_head");
@@ -575,7 +577,7 @@
             try {
                 boolean startsMessage = parser.isBetweenMessages();
                 if (startsMessage) {
-                    messageSentSinceMicros = connection.offeredSince();
+                    messageSentSinceMicros = connection.offeredSinceMicros();
                 }
                 HttpMessage message = parser.next(in);
                 if (message == null && parser.isReadingBody() && !headChecked) {
@@ -614,7 +616,7 @@
 
         /** Starts the time limit of a head or body that has not arrived completely. */
         private void restartTimeLimit() {
-            waitingSinceMicros = Loop.now();
+            waitingSinceMicros = Loop.nowMicros();
             waitTimer.cancel();
             enforceTimeLimit();
         }
@@ -638,7 +640,7 @@
             if (!admission.tryReserve(id, bytes)) {
                 countTurnedAway("bodies_waited");
                 waitsForBodyBytes = true;
-                connection.pause(true);
+                connection.setReadingPaused(true);
                 return;
             }
             sendContinueIfExpected();
@@ -657,14 +659,14 @@
             if (waitsForBodyBytes && connection.isOpen()) {
                 waitsForBodyBytes = false;
                 sendContinueIfExpected();
-                connection.pause(false);
+                connection.setReadingPaused(false);
                 restartTimeLimit();
-                loop.after(0, connection::offer);
+                loop.after(0, connection::offerUnreadInput);
             }
         }
 
         @Override
-        public void drained() {
+        public void outputWritten() {
             releaseBodyBytes();
             endCloseDelayOnceSent();
         }
@@ -674,13 +676,13 @@
          * client then cannot take the close for one that crossed its request.
          */
         private void endCloseDelayOnceSent() {
-            if (exchange == null && connection.pending() == 0) {
+            if (exchange == null && connection.pendingBytes() == 0) {
                 connection.delayCloseIfBroken(0);
             }
         }
 
         @Override
-        public void crammed() {
+        public void unreadInputFull() {
             if (resetsOnFullInput) {
                 countTurnedAway("crammed");
                 connection.reset();
@@ -724,11 +726,11 @@
                 return;
             }
             exchange = null;
-            waitingSinceMicros = Loop.now();
+            waitingSinceMicros = Loop.nowMicros();
             endCloseDelayOnceSent();
             releaseBodyBytes();
-            if (connection.pending() > 0) {
-                admission.reserve(id, connection.pending());
+            if (connection.pendingBytes() > 0) {
+                admission.reserve(id, connection.pendingBytes());
             }
             if (closesConnection) {
                 closing = true;
@@ -737,7 +739,7 @@
                     close();
                 }
             } else {
-                loop.after(0, connection::offer);
+                loop.after(0, connection::offerUnreadInput);
             }
         }
 
--- a/src/main/java/waytrestle/standin/InvokerStandIn.java
+++ b/src/main/java/waytrestle/standin/InvokerStandIn.java
@@ -208,7 +208,8 @@
                             }
                         });
         if (underway != null && e.isOpen()) {
-            e.onClientDisconnect(() -> underway.closed(Loop.now() - loop.turnBefore()));
+            e.onClientDisconnect(
+                    () -> underway.closed(Loop.nowMicros() - loop.previousSelectionMicros()));
         }
     }
 
--- a/src/test/java/waytrestle/http/HttpServerTest.java
+++ b/src/test/java/waytrestle/http/HttpServerTest.java
@@ -72,7 +72,8 @@
                                         new byte[0],
                                         "X-Waited",
                                         Long.toString(
-                                                Loop.now() - exchange.earliestSentAtMicros()));
+                                                Loop.nowMicros()
+                                                        - exchange.earliestSentAtMicros()));
                                 return;
                             }
                             if (exchange.message().path().equals("/later")) {
