--- a/src/main/java/waytrestle/http/HttpServer.java
+++ b/src/main/java/waytrestle/http/HttpServer.java
@@ -53,7 +53,11 @@
         }
     }
 
-    /** The content type and body of the response to a request that cannot be read. */
+    /**
+     * The response to a request that cannot be read.
+     *
+     * @param type the content type of the body
+     */
     public record Refusal(String type, byte[] body) {}
 
     /**
@@ -86,7 +90,9 @@
     /** Open connections by their number, in the order in which they were accepted. */
     private final Map<Long, ClientConnection> clients = new LinkedHashMap<>();
 
+    /** Number of the last accepted connection. */
     private long acceptedConnections;
+
     private final Map<String, Long> turnedAway = new HashMap<>();
     private boolean stopping, stoppedAccepting, evictsIdle, resetsOnFullInput;
     private long firstRequestMicros = Long.MAX_VALUE;
--- a/src/test/java/waytrestle/http/HttpServerTest.java
+++ b/src/test/java/waytrestle/http/HttpServerTest.java
@@ -251,10 +251,10 @@
 
     @Test
     void connectionBeyondLimitGetsStatus503() throws Exception {
-        List<Socket> held = new ArrayList<>();
+        List<Socket> connectionsAtLimit = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Socket socket = connect();
-            held.add(socket);
+            connectionsAtLimit.add(socket);
             socket.getOutputStream()
                     .write("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".getBytes());
             assertEquals('H', socket.getInputStream().read());
@@ -262,7 +262,7 @@
         try (Socket socket = connect()) {
             assertTrue(readToEnd(socket).startsWith("HTTP/1.1 503 "));
         }
-        for (Socket socket : held) {
+        for (Socket socket : connectionsAtLimit) {
             socket.close();
         }
     }
