--- a/src/main/java/waytrestle/front/FrontEnd.java
+++ b/src/main/java/waytrestle/front/FrontEnd.java
@@ -4,12 +4,18 @@
 import waytrestle.http.HttpServer;
 
 /**
- * A way for calls to come in: it owns paths, understands their messages and brings calls to the
- * core's intake.
+ * The front end of one client protocol: it parses the messages to its paths and hands the requests
+ * in them to a {@link waytrestle.requests.RequestHandler}.
+ *
+ * <p>Not thread-safe: used by the event loop of its HTTP server.
  */
 public interface FrontEnd extends HttpServer.Handler {
+    /** Returns whether messages to the path are for this front end. */
     boolean handlesPath(String path);
 
-    /** Messages that never became calls, by reason. */
+    /**
+     * Returns the number of messages that were rejected without becoming requests, by reason; the
+     * reasons are metric labels.
+     */
     Map<String, Long> rejectedMessagesByReason();
 }
--- a/src/main/java/waytrestle/front/FrontEnds.java
+++ b/src/main/java/waytrestle/front/FrontEnds.java
@@ -8,45 +8,62 @@
 import waytrestle.requests.RequestOutcome;
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
-/** What fronts over HTTP share: names, the client's time, and the status of each end. */
+/**
+ * Functions that the front ends share: validation of function names, the time left for a request,
+ * the HTTP form of an outcome, and payload digests. Stateless.
+ */
 public final class FrontEnds {
-    private static final Pattern FUNCTION = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,127}");
-    private static final Pattern WAIT =
+    private static final Pattern FUNCTION_NAME =
+            Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,127}");
+    private static final Pattern PREFER_WAIT =
             Pattern.compile(
                     "(?:^|,)\\s*wait\\s*=\\s*\"?(\\d{1,9})\"?\\s*(?:[,;]|$)",
                     Pattern.CASE_INSENSITIVE);
-    private static final int DIGESTED =
-            64 * 1024; // bytes of a payload that tell it from another: a digest of more
 
-    // would hold up the loop; the length tells besides
+    /** Number of leading payload bytes in a digest: hashing more would delay the event loop. */
+    private static final int MAX_DIGESTED_BYTES = 64 * 1024;
 
     private FrontEnds() {}
 
+    /**
+     * Returns whether the name, null allowed, is a valid function name: 1 to 128 letters, digits,
+     * dots, underscores and dashes, of which the first is a letter or digit.
+     */
     public static boolean isFunctionName(String name) {
-        return name != null && FUNCTION.matcher(name).matches();
+        return name != null && FUNCTION_NAME.matcher(name).matches();
     }
 
     /**
-     * Micros left of the client's time: its class's, or less by {@code Prefer: wait} or as told. It
-     * began when the client sent the first byte: what that may have waited here is taken off.
+     * Returns the time left until the client's deadline in microseconds, negative if the deadline
+     * has passed. The timeout is the shortest of the request class's deadline, the timeout in the
+     * payload and the one of a {@code Prefer: wait} header. It starts when the client may have sent
+     * the first byte, so the network transit and the time that the message may have waited in this
+     * process are subtracted.
+     *
+     * @param payloadTimeoutMicros the timeout that the payload declares, 0 for none
+     * @param transitMicros time assumed for the message's way from the client
      */
     public static long timeLeftMicros(
-            HttpServer.Exchange e, RequestClass kind, long toldMicros, long transitMicros) {
-        String prefer = e.message().joinedHeader("prefer");
-        Matcher wait = prefer == null ? null : WAIT.matcher(prefer);
-        long whole =
-                toldMicros > 0
-                        ? Math.min(kind.deadlineMicros(), toldMicros)
-                        : kind.deadlineMicros();
+            HttpServer.Exchange exchange,
+            RequestClass requestClass,
+            long payloadTimeoutMicros,
+            long transitMicros) {
+        String prefer = exchange.message().joinedHeader("prefer");
+        Matcher wait = prefer == null ? null : PREFER_WAIT.matcher(prefer);
+        long timeoutMicros =
+                payloadTimeoutMicros > 0
+                        ? Math.min(requestClass.deadlineMicros(), payloadTimeoutMicros)
+                        : requestClass.deadlineMicros();
         if (wait != null && wait.find()) {
-            whole = Math.min(whole, Long.parseLong(wait.group(1)) * 1_000_000);
+            timeoutMicros = Math.min(timeoutMicros, Long.parseLong(wait.group(1)) * 1_000_000);
         }
-        return whole - transitMicros - (Loop.nowMicros() - e.earliestSentAtMicros());
+        return timeoutMicros - transitMicros - (Loop.nowMicros() - exchange.earliestSentAtMicros());
     }
 
-    public static int httpStatus(RequestOutcome end) {
-        if (end instanceof RequestOutcome.Rejected refused) {
-            return switch (refused.reason()) {
+    /** Returns the HTTP status that tells a client an outcome. */
+    public static int httpStatus(RequestOutcome outcome) {
+        if (outcome instanceof RequestOutcome.Rejected rejected) {
+            return switch (rejected.reason()) {
                 case TOO_MANY_IN_FLIGHT,
                         IDEMPOTENCY_STORE_FULL,
                         TENANT_LIMIT_REACHED,
@@ -55,11 +72,12 @@
                         429;
                 case FUNCTION_NOT_FOUND -> 404;
                 case DEADLINE_EXCEEDED -> 504;
-                case CIRCUIT_OPEN -> said(refused.attemptSummary().lastResponseText());
+                case CIRCUIT_OPEN ->
+                        serverErrorStatus(rejected.attemptSummary().lastResponseText());
                 default -> 503;
             };
         }
-        return end instanceof RequestOutcome.Failed failed
+        return outcome instanceof RequestOutcome.Failed failed
                 ? switch (failed.reason()) {
                     case DEADLINE_EXCEEDED, STILL_IN_FLIGHT -> 504;
                     case SIGNED_BEFORE_STORE, DEDUPLICATION_WINDOW_PASSED -> 409;
@@ -69,59 +87,77 @@
                     case INTERNAL_ERROR -> 500;
                     default -> 502;
                 }
-                : end instanceof RequestOutcome.FunctionError answered ? answered.status() : 200;
+                : outcome instanceof RequestOutcome.FunctionError functionError
+                        ? functionError.status()
+                        : 200;
     }
 
-    /** The status that a function last said of itself; 502 where what came was none. */
-    private static int said(String last) {
-        return last.matches("5\\d\\d") ? Integer.parseInt(last) : 502;
+    /** Returns the status of the last response if it is a 5xx status, otherwise 502. */
+    private static int serverErrorStatus(String lastResponseText) {
+        return lastResponseText.matches("5\\d\\d") ? Integer.parseInt(lastResponseText) : 502;
     }
 
-    public static RequestOutcome.AttemptSummary attemptSummary(RequestOutcome end) {
-        return end instanceof RequestOutcome.Rejected refused
-                ? refused.attemptSummary()
-                : end instanceof RequestOutcome.Failed failed
+    /** Returns the attempts behind an outcome; {@code NONE} for a served request. */
+    public static RequestOutcome.AttemptSummary attemptSummary(RequestOutcome outcome) {
+        return outcome instanceof RequestOutcome.Rejected rejected
+                ? rejected.attemptSummary()
+                : outcome instanceof RequestOutcome.Failed failed
                         ? failed.attemptSummary()
-                        : end instanceof RequestOutcome.FunctionError answered
-                                ? answered.attemptSummary()
+                        : outcome instanceof RequestOutcome.FunctionError functionError
+                                ? functionError.attemptSummary()
                                 : RequestOutcome.AttemptSummary.NONE;
     }
 
-    public static RequestOutcome.Reason reason(RequestOutcome end) {
-        return end instanceof RequestOutcome.Rejected refused
-                ? refused.reason()
-                : ((RequestOutcome.Failed) end).reason();
+    /**
+     * Returns why a request was rejected or failed.
+     *
+     * @throws ClassCastException for an outcome of another type, which has no reason
+     */
+    public static RequestOutcome.Reason reason(RequestOutcome outcome) {
+        return outcome instanceof RequestOutcome.Rejected rejected
+                ? rejected.reason()
+                : ((RequestOutcome.Failed) outcome).reason();
     }
 
-    public static String reasonCode(RequestOutcome end) {
-        return reason(end).code();
+    /** Returns the code of the reason for which a request was rejected or failed. */
+    public static String reasonCode(RequestOutcome outcome) {
+        return reason(outcome).code();
     }
 
-    /** Whether coming again is proved to do no harm. */
-    public static boolean isRetryHarmless(RequestOutcome end) {
-        return end instanceof RequestOutcome.Rejected
-                || (end instanceof RequestOutcome.Failed failed && !failed.mayHaveRun())
-                || (end instanceof RequestOutcome.FunctionError answered && !answered.mayHaveRun());
+    /**
+     * Returns whether it is certain that a retry is harmless, because the request has had no effect
+     * that a retry would double.
+     */
+    public static boolean isRetryHarmless(RequestOutcome outcome) {
+        return outcome instanceof RequestOutcome.Rejected
+                || (outcome instanceof RequestOutcome.Failed failed && !failed.mayHaveRun())
+                || (outcome instanceof RequestOutcome.FunctionError functionError
+                        && !functionError.mayHaveRun());
     }
 
     /**
-     * Milliseconds after which a refused client may come again; 0 for other ends, and where that
-     * cannot help.
+     * Returns the time in milliseconds, at least 1, after which the client of a rejected request
+     * may retry. Returns 0 for other outcomes and for an unknown function, where a retry cannot
+     * help.
      */
-    public static long retryAfterMillis(RequestOutcome end) {
-        return end instanceof RequestOutcome.Rejected refused
-                        && refused.reason() != RequestOutcome.Reason.FUNCTION_NOT_FOUND
-                ? Math.max(1, refused.retryAfterMicros() / 1_000)
+    public static long retryAfterMillis(RequestOutcome outcome) {
+        return outcome instanceof RequestOutcome.Rejected rejected
+                        && rejected.reason() != RequestOutcome.Reason.FUNCTION_NOT_FOUND
+                ? Math.max(1, rejected.retryAfterMicros() / 1_000)
                 : 0;
     }
 
-    /** Tells payloads apart: their length and beginning. */
+    /**
+     * Returns a digest of a payload's length and beginning (64-bit FNV-1a with a final mixing
+     * step), never 0. Payloads of equal length that differ only after the first 64 KiB have equal
+     * digests.
+     */
     public static long payloadDigest(Bytes payload) {
-        long h = 0xCBF29CE484222325L ^ payload.size();
-        for (byte b : payload.slice(0, Math.min(DIGESTED, payload.size())).array()) {
-            h = (h ^ (b & 0xFF)) * 0x100000001B3L;
+        long hash = 0xCBF29CE484222325L ^ payload.size();
+        for (byte b : payload.slice(0, Math.min(MAX_DIGESTED_BYTES, payload.size())).array()) {
+            hash = (hash ^ (b & 0xFF)) * 0x100000001B3L;
         }
-        h ^= h >>> 32;
-        return h == 0 ? 1 : h;
+        hash ^= hash >>> 32;
+        return hash == 0 ? 1 : hash;
     }
 }
--- a/src/main/java/waytrestle/front/Router.java
+++ b/src/main/java/waytrestle/front/Router.java
@@ -8,19 +8,25 @@
 import waytrestle.http.HttpServer;
 import waytrestle.http.Problem;
 
-/** Gives each message to the front that owns its path. */
+/**
+ * Passes each message to the front end that handles its path.
+ *
+ * <p>Not thread-safe: used by the event loop of its HTTP server.
+ */
 public final class Router implements HttpServer.Handler {
-    private final List<FrontEnd> fronts;
-    private long nowhere;
+    private final List<FrontEnd> frontEnds;
+    private long messagesToUnknownPaths;
 
-    public Router(List<FrontEnd> fronts) {
-        this.fronts = fronts;
+    /** Creates a router; of front ends that handle a path, the first gets its messages. */
+    public Router(List<FrontEnd> frontEnds) {
+        this.frontEnds = frontEnds;
     }
 
-    private FrontEnd of(String path) {
-        for (FrontEnd front : fronts) {
-            if (front.handlesPath(path)) {
-                return front;
+    /** Returns the front end that handles the path, null if none does. */
+    private FrontEnd frontEndFor(String path) {
+        for (FrontEnd frontEnd : frontEnds) {
+            if (frontEnd.handlesPath(path)) {
+                return frontEnd;
             }
         }
         return null;
@@ -28,40 +34,43 @@
 
     @Override
     public int checkHead(HttpMessage head) {
-        FrontEnd front = of(head.path());
-        return front == null ? 404 : front.checkHead(head);
+        FrontEnd frontEnd = frontEndFor(head.path());
+        return frontEnd == null ? 404 : frontEnd.checkHead(head);
     }
 
     @Override
-    public void handle(HttpServer.Exchange e) {
-        FrontEnd front = of(e.message().path());
-        if (front != null) {
-            front.handle(e);
+    public void handle(HttpServer.Exchange exchange) {
+        FrontEnd frontEnd = frontEndFor(exchange.message().path());
+        if (frontEnd != null) {
+            frontEnd.handle(exchange);
             return;
         }
-        nowhere++;
-        e.answer(
+        messagesToUnknownPaths++;
+        exchange.answer(
                 404,
                 Problem.TYPE,
                 Problem.of(404, "no-endpoint", "there is no endpoint at this path", true).bytes());
     }
 
     @Override
-    public HttpServer.Refusal refusal(String path, HttpError e) {
-        FrontEnd front = path == null ? null : of(path);
-        return front == null ? HttpServer.Handler.super.refusal(path, e) : front.refusal(path, e);
+    public HttpServer.Refusal refusal(String path, HttpError error) {
+        FrontEnd frontEnd = path == null ? null : frontEndFor(path);
+        return frontEnd == null
+                ? HttpServer.Handler.super.refusal(path, error)
+                : frontEnd.refusal(path, error);
     }
 
-    /** What all fronts turned away, by reason. */
+    /** Returns the number of messages that were rejected before becoming requests, by reason. */
     public Map<String, Long> rejectedMessagesByReason() {
-        Map<String, Long> all = new TreeMap<>();
-        fronts.forEach(
-                f ->
-                        f.rejectedMessagesByReason()
-                                .forEach((reason, n) -> all.merge(reason, n, Long::sum)));
-        if (nowhere > 0) {
-            all.merge("no-endpoint", nowhere, Long::sum);
+        Map<String, Long> counts = new TreeMap<>();
+        frontEnds.forEach(
+                frontEnd ->
+                        frontEnd.rejectedMessagesByReason()
+                                .forEach(
+                                        (reason, count) -> counts.merge(reason, count, Long::sum)));
+        if (messagesToUnknownPaths > 0) {
+            counts.merge("no-endpoint", messagesToUnknownPaths, Long::sum);
         }
-        return all;
+        return counts;
     }
 }
--- a/src/main/java/waytrestle/front/kserve/FunctionErrorBody.java
+++ b/src/main/java/waytrestle/front/kserve/FunctionErrorBody.java
@@ -8,41 +8,51 @@
 import waytrestle.Bytes;
 
 /**
- * Whether what a model said of its failure has the protocol's form: an object with an {@code error}
- * text.
+ * Checks whether the body of a model's error response has the form that the Open Inference Protocol
+ * defines: a JSON object with a string member {@code error}. Stateless.
  */
 final class FunctionErrorBody {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final long READ = 65_536; // bytes of an error that are looked at
-    private static final int TOLD = 1_000; // characters of any other text that are passed on
+
+    /** Limit in bytes: of a longer body only this beginning is read, and it is not parsed. */
+    private static final long MAX_PARSED_BYTES = 65_536;
+
+    /** Limit of a message that is to be put into an error object, in characters. */
+    private static final int MAX_MESSAGE_CHARACTERS = 1_000;
 
     private FunctionErrorBody() {}
 
-    /** Null where the body is such an object; else the text to put into one. */
+    /**
+     * Returns null if the body is an error object of the protocol, which can be passed on
+     * unchanged. Otherwise returns the beginning of the body as text, possibly empty, which the
+     * caller puts into an error object.
+     */
     static String messageUnlessErrorObject(Bytes body) {
-        if (body.size() <= READ && isObject(body.array())) {
+        if (body.size() <= MAX_PARSED_BYTES && isErrorObject(body.array())) {
             return null;
         }
         String text =
                 new String(
-                                body.slice(0, Math.min(body.size(), READ)).array(),
+                                body.slice(0, Math.min(body.size(), MAX_PARSED_BYTES)).array(),
                                 StandardCharsets.UTF_8)
                         .strip();
-        return text.substring(0, Math.min(TOLD, text.length()));
+        return text.substring(0, Math.min(MAX_MESSAGE_CHARACTERS, text.length()));
     }
 
-    private static boolean isObject(byte[] body) {
-        boolean error = false;
+    private static boolean isErrorObject(byte[] body) {
+        boolean hasErrorText = false;
         try (JsonParser json = JSON.createParser(body)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
                 return false;
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
-                boolean named = json.currentName().equals("error");
-                error |= json.nextToken() == JsonToken.VALUE_STRING && named;
+                boolean isErrorField = json.currentName().equals("error");
+                hasErrorText |= json.nextToken() == JsonToken.VALUE_STRING && isErrorField;
                 json.skipChildren();
             }
-            return error && json.currentToken() == JsonToken.END_OBJECT && json.nextToken() == null;
+            return hasErrorText
+                    && json.currentToken() == JsonToken.END_OBJECT
+                    && json.nextToken() == null;
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/waytrestle/front/kserve/InferRequestValidator.java
+++ b/src/main/java/waytrestle/front/kserve/InferRequestValidator.java
@@ -12,24 +12,42 @@
 import waytrestle.Bytes;
 
 /**
- * Reads an infer request of the Open Inference Protocol as a stream, JSON and binary tensors, and
- * says by field what is wrong with it. It keeps no tensor: what is right is passed on as it came.
+ * Validates an infer request of the Open Inference Protocol, whose body is a JSON part followed by
+ * the data of its binary tensors. The body is read as a stream and no tensor data is kept, since a
+ * valid request is forwarded unchanged.
+ *
+ * <p>A validator serves one request. Not thread-safe.
  */
 final class InferRequestValidator {
-    /** What the front needs of a request; timeout in micros, 0 untold. */
+    /**
+     * The values of a valid request that the front end uses.
+     *
+     * @param id null if the request has none
+     * @param timeoutMicros timeout in microseconds, 0 if the request declares none
+     */
     record ValidatedRequest(String id, long timeoutMicros) {}
 
-    /** A fault, naming its field. */
+    /**
+     * An infer request is invalid. The message names the invalid field and what is wrong with it.
+     */
     static final class InvalidInferRequestException extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /**
+         * Creates an exception without a stack trace, since clients may send many invalid requests.
+         *
+         * @param field path of the invalid field, empty for the request as a whole
+         */
         InvalidInferRequestException(String field, String text) {
             super(field.isEmpty() ? text : field + ": " + text, null, false, false);
         }
     }
 
-    /** Bytes of an element; 0 for BYTES, whose elements tell their own. */
-    private static final Map<String, Integer> SIZES =
+    /**
+     * Size in bytes of a binary element, by datatype; 0 for BYTES, whose elements are each preceded
+     * by their own length.
+     */
+    private static final Map<String, Integer> ELEMENT_BYTES =
             Map.ofEntries(
                     Map.entry("BOOL", 1),
                     Map.entry("UINT8", 1),
@@ -47,33 +65,51 @@
                     Map.entry("BYTES", 0));
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int TENSORS = 1_024; // inputs or outputs of one request
-    private static final int DEPTH = 32; // of nested arrays, and dimensions of a shape
 
+    /** Limit of the inputs, and of the outputs, of one request. */
+    private static final int MAX_TENSORS = 1_024;
+
+    /** Limit of the dimensions of a shape and of the nesting depth of JSON data. */
+    private static final int MAX_DIMENSIONS = 32;
+
+    /** An input or output: its declared fields, and a summary of its JSON data. */
     private static final class Tensor {
-        String name, type;
-        long elements = -1;
-        long binary = -1;
-        boolean data, strings, flags, numbers, fractions;
-        long count;
-        BigInteger least, most;
+        String name, datatype;
+
+        /** Number of elements by the shape, -1 without a shape. */
+        long shapeElements = -1;
+
+        /** Declared size of the binary data in bytes, -1 for a tensor without binary data. */
+        long binaryBytes = -1;
+
+        boolean hasData, hasStrings, hasBooleans, hasIntegers, hasFractions;
+        long jsonElements;
+
+        /** Bounds of the integers in the JSON data; null without integers. */
+        BigInteger smallestInteger, largestInteger;
     }
 
     private final Bytes body;
     private final int jsonBytes;
     private String id;
-    private long timeout;
+    private long timeoutMicros;
 
     private InferRequestValidator(Bytes body, int jsonBytes) {
         this.body = body;
         this.jsonBytes = jsonBytes;
     }
 
+    /**
+     * Validates a request.
+     *
+     * @param body the JSON part and the binary data that follows it
+     * @param jsonBytes length of the JSON part
+     */
     static ValidatedRequest validate(Bytes body, int jsonBytes)
             throws InvalidInferRequestException {
-        InferRequestValidator check = new InferRequestValidator(body, jsonBytes);
+        InferRequestValidator validator = new InferRequestValidator(body, jsonBytes);
         try (JsonParser json = JSON.createParser(body.slice(0, jsonBytes).stream())) {
-            check.request(json);
+            validator.readRequest(json);
             if (json.nextToken() != null) {
                 throw new InvalidInferRequestException("", "text follows the JSON object");
             }
@@ -87,17 +123,17 @@
         } catch (IOException e) {
             throw new InvalidInferRequestException("", "not JSON");
         }
-        return new ValidatedRequest(check.id, check.timeout);
+        return new ValidatedRequest(validator.id, validator.timeoutMicros);
     }
 
-    private static void expect(JsonParser json, JsonToken token, String field, String what)
+    private static void expect(JsonParser json, JsonToken token, String field, String expected)
             throws InvalidInferRequestException {
         if (json.currentToken() != token) {
-            throw new InvalidInferRequestException(field, "must be " + what);
+            throw new InvalidInferRequestException(field, "must be " + expected);
         }
     }
 
-    private void request(JsonParser json) throws IOException, InvalidInferRequestException {
+    private void readRequest(JsonParser json) throws IOException, InvalidInferRequestException {
         json.nextToken();
         expect(json, JsonToken.START_OBJECT, "", "a JSON object");
         List<Tensor> inputs = null;
@@ -109,105 +145,108 @@
                     expect(json, JsonToken.VALUE_STRING, "id", "text");
                     id = json.getText();
                 }
-                case "parameters" -> parameters(json, "parameters", null);
-                case "inputs" -> inputs = tensors(json, "inputs", true);
-                case "outputs" -> tensors(json, "outputs", false);
+                case "parameters" -> readParameters(json, "parameters", null);
+                case "inputs" -> inputs = readTensors(json, "inputs", true);
+                case "outputs" -> readTensors(json, "outputs", false);
                 default -> json.skipChildren();
             }
         }
         if (inputs == null || inputs.isEmpty()) {
             throw new InvalidInferRequestException("inputs", "at least one is needed");
         }
-        binaries(inputs);
+        validateBinaryData(inputs);
     }
 
-    private List<Tensor> tensors(JsonParser json, String list, boolean inputs)
+    private List<Tensor> readTensors(JsonParser json, String listPath, boolean areInputs)
             throws IOException, InvalidInferRequestException {
-        expect(json, JsonToken.START_ARRAY, list, "an array");
-        List<Tensor> all = new ArrayList<>();
+        expect(json, JsonToken.START_ARRAY, listPath, "an array");
+        List<Tensor> tensors = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
-            String at = list + "[" + all.size() + "]";
-            if (all.size() >= TENSORS) {
-                throw new InvalidInferRequestException(list, "holds over " + TENSORS + " tensors");
+            String path = listPath + "[" + tensors.size() + "]";
+            if (tensors.size() >= MAX_TENSORS) {
+                throw new InvalidInferRequestException(
+                        listPath, "holds over " + MAX_TENSORS + " tensors");
             }
-            expect(json, JsonToken.START_OBJECT, at, "an object");
-            Tensor t = new Tensor();
+            expect(json, JsonToken.START_OBJECT, path, "an object");
+            Tensor tensor = new Tensor();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String field = json.currentName();
                 json.nextToken();
                 switch (field) {
                     case "name" -> {
-                        expect(json, JsonToken.VALUE_STRING, at + ".name", "text");
-                        t.name = json.getText();
+                        expect(json, JsonToken.VALUE_STRING, path + ".name", "text");
+                        tensor.name = json.getText();
                     }
                     case "datatype" -> {
-                        expect(json, JsonToken.VALUE_STRING, at + ".datatype", "text");
-                        t.type = json.getText();
+                        expect(json, JsonToken.VALUE_STRING, path + ".datatype", "text");
+                        tensor.datatype = json.getText();
                     }
-                    case "shape" -> t.elements = shape(json, at + ".shape");
-                    case "parameters" -> parameters(json, at + ".parameters", t);
+                    case "shape" -> tensor.shapeElements = readShape(json, path + ".shape");
+                    case "parameters" -> readParameters(json, path + ".parameters", tensor);
                     case "data" -> {
-                        expect(json, JsonToken.START_ARRAY, at + ".data", "an array");
-                        t.data = true;
-                        data(json, at + ".data", t, 1);
+                        expect(json, JsonToken.START_ARRAY, path + ".data", "an array");
+                        tensor.hasData = true;
+                        readData(json, path + ".data", tensor, 1);
                     }
                     default -> json.skipChildren();
                 }
             }
-            if (t.name == null || t.name.isEmpty()) {
-                throw new InvalidInferRequestException(at + ".name", "is missing");
+            if (tensor.name == null || tensor.name.isEmpty()) {
+                throw new InvalidInferRequestException(path + ".name", "is missing");
             }
-            if (inputs) {
-                input(t, at);
+            if (areInputs) {
+                validateInput(tensor, path);
             }
-            all.add(t);
+            tensors.add(tensor);
         }
-        return all;
+        return tensors;
     }
 
-    private static long shape(JsonParser json, String at)
+    private static long readShape(JsonParser json, String path)
             throws IOException, InvalidInferRequestException {
-        expect(json, JsonToken.START_ARRAY, at, "an array");
-        long elements = 1;
-        for (int n = 0; json.nextToken() != JsonToken.END_ARRAY; n++) {
-            if (n >= DEPTH) {
-                throw new InvalidInferRequestException(at, "has over " + DEPTH + " dimensions");
+        expect(json, JsonToken.START_ARRAY, path, "an array");
+        long shapeElements = 1;
+        for (int dimensions = 0; json.nextToken() != JsonToken.END_ARRAY; dimensions++) {
+            if (dimensions >= MAX_DIMENSIONS) {
+                throw new InvalidInferRequestException(
+                        path, "has over " + MAX_DIMENSIONS + " dimensions");
             }
-            expect(json, JsonToken.VALUE_NUMBER_INT, at, "whole numbers");
+            expect(json, JsonToken.VALUE_NUMBER_INT, path, "whole numbers");
             if ((json.getNumberType() != JsonParser.NumberType.INT
                             && json.getNumberType() != JsonParser.NumberType.LONG)
                     || json.getLongValue() < 0) {
                 throw new InvalidInferRequestException(
-                        at, "a dimension must be from 0 to 9223372036854775807");
+                        path, "a dimension must be from 0 to 9223372036854775807");
             }
             try {
-                elements = Math.multiplyExact(elements, json.getLongValue());
+                shapeElements = Math.multiplyExact(shapeElements, json.getLongValue());
             } catch (ArithmeticException e) {
-                throw new InvalidInferRequestException(at, "the number of elements overflows");
+                throw new InvalidInferRequestException(path, "the number of elements overflows");
             }
         }
-        return elements;
+        return shapeElements;
     }
 
-    private void parameters(JsonParser json, String at, Tensor t)
+    /** Reads the parameters of a tensor, or those of the request if the tensor is null. */
+    private void readParameters(JsonParser json, String path, Tensor tensor)
             throws IOException, InvalidInferRequestException {
-        expect(json, JsonToken.START_OBJECT, at, "an object");
+        expect(json, JsonToken.START_OBJECT, path, "an object");
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
             json.nextToken();
-            boolean size = t != null && field.equals("binary_data_size");
-            boolean time = t == null && field.equals("timeout");
-            if (size || time) {
-                expect(json, JsonToken.VALUE_NUMBER_INT, at + "." + field, "a whole number");
+            boolean isBinarySize = tensor != null && field.equals("binary_data_size");
+            boolean isTimeout = tensor == null && field.equals("timeout");
+            if (isBinarySize || isTimeout) {
+                expect(json, JsonToken.VALUE_NUMBER_INT, path + "." + field, "a whole number");
                 if (json.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                         || json.getLongValue() < 0) {
                     throw new InvalidInferRequestException(
-                            at + "." + field, "must be from 0 to 9223372036854775807");
+                            path + "." + field, "must be from 0 to 9223372036854775807");
                 }
-                if (size) {
-                    t.binary = json.getLongValue();
+                if (isBinarySize) {
+                    tensor.binaryBytes = json.getLongValue();
                 } else {
-                    timeout = json.getLongValue();
+                    timeoutMicros = json.getLongValue();
                 }
             } else {
                 json.skipChildren();
@@ -215,132 +254,162 @@
         }
     }
 
-    /** Elements flat or nested, in the order of rows; they are counted and bounded, not kept. */
-    private static void data(JsonParser json, String at, Tensor t, int depth)
+    /**
+     * Counts the elements of a JSON array, flat or nested in row-major order, and records their
+     * types and the bounds of the integers.
+     */
+    private static void readData(JsonParser json, String path, Tensor tensor, int depth)
             throws IOException, InvalidInferRequestException {
-        if (depth > DEPTH) {
-            throw new InvalidInferRequestException(at, "is nested over " + DEPTH + " deep");
+        if (depth > MAX_DIMENSIONS) {
+            throw new InvalidInferRequestException(
+                    path, "is nested over " + MAX_DIMENSIONS + " deep");
         }
         while (json.nextToken() != JsonToken.END_ARRAY) {
             switch (json.currentToken()) {
                 case START_ARRAY -> {
-                    data(json, at, t, depth + 1);
+                    readData(json, path, tensor, depth + 1);
                     continue;
                 }
-                case VALUE_STRING -> t.strings = true;
-                case VALUE_TRUE, VALUE_FALSE -> t.flags = true;
+                case VALUE_STRING -> tensor.hasStrings = true;
+                case VALUE_TRUE, VALUE_FALSE -> tensor.hasBooleans = true;
                 case VALUE_NUMBER_INT -> {
-                    t.numbers = true;
-                    BigInteger n = json.getBigIntegerValue();
-                    t.least = t.least == null || n.compareTo(t.least) < 0 ? n : t.least;
-                    t.most = t.most == null || n.compareTo(t.most) > 0 ? n : t.most;
+                    tensor.hasIntegers = true;
+                    BigInteger value = json.getBigIntegerValue();
+                    tensor.smallestInteger =
+                            tensor.smallestInteger == null
+                                            || value.compareTo(tensor.smallestInteger) < 0
+                                    ? value
+                                    : tensor.smallestInteger;
+                    tensor.largestInteger =
+                            tensor.largestInteger == null
+                                            || value.compareTo(tensor.largestInteger) > 0
+                                    ? value
+                                    : tensor.largestInteger;
                 }
-                case VALUE_NUMBER_FLOAT -> t.fractions = true;
+                case VALUE_NUMBER_FLOAT -> tensor.hasFractions = true;
                 default ->
                         throw new InvalidInferRequestException(
-                                at, "holds what is no tensor element");
+                                path, "holds what is no tensor element");
             }
-            t.count++;
+            tensor.jsonElements++;
         }
     }
 
-    private static void input(Tensor t, String at) throws InvalidInferRequestException {
-        if (t.type == null) {
-            throw new InvalidInferRequestException(at + ".datatype", "is missing");
+    /** Checks an input except for its binary data, which follows the whole JSON part. */
+    private static void validateInput(Tensor tensor, String path)
+            throws InvalidInferRequestException {
+        if (tensor.datatype == null) {
+            throw new InvalidInferRequestException(path + ".datatype", "is missing");
         }
-        if (!SIZES.containsKey(t.type)) {
-            throw new InvalidInferRequestException(at + ".datatype", "is unknown: " + t.type);
+        if (!ELEMENT_BYTES.containsKey(tensor.datatype)) {
+            throw new InvalidInferRequestException(
+                    path + ".datatype", "is unknown: " + tensor.datatype);
         }
-        if (t.elements < 0) {
-            throw new InvalidInferRequestException(at + ".shape", "is missing");
+        if (tensor.shapeElements < 0) {
+            throw new InvalidInferRequestException(path + ".shape", "is missing");
         }
-        if (t.data == t.binary >= 0) {
+        if (tensor.hasData == tensor.binaryBytes >= 0) {
             throw new InvalidInferRequestException(
-                    at, "needs either data or parameters.binary_data_size");
+                    path, "needs either data or parameters.binary_data_size");
         }
-        if (t.binary >= 0) {
+        if (tensor.binaryBytes >= 0) {
             return;
         }
-        if (t.count != t.elements) {
+        if (tensor.jsonElements != tensor.shapeElements) {
             throw new InvalidInferRequestException(
-                    at + ".data",
-                    "holds " + t.count + " elements where the shape has " + t.elements);
+                    path + ".data",
+                    "holds "
+                            + tensor.jsonElements
+                            + " elements where the shape has "
+                            + tensor.shapeElements);
         }
-        boolean bytes = t.type.equals("BYTES");
-        boolean flag = t.type.equals("BOOL");
-        boolean real = t.type.startsWith("FP");
-        boolean wrong =
-                (t.strings && !bytes)
-                        || (t.flags && !flag)
-                        || (t.fractions && !real)
-                        || (t.numbers && (bytes || flag))
-                        || t.type.equals("BF16");
-        if (wrong) {
+        boolean isBytes = tensor.datatype.equals("BYTES");
+        boolean isBoolean = tensor.datatype.equals("BOOL");
+        boolean isFloat = tensor.datatype.startsWith("FP");
+        boolean hasWrongElements =
+                (tensor.hasStrings && !isBytes)
+                        || (tensor.hasBooleans && !isBoolean)
+                        || (tensor.hasFractions && !isFloat)
+                        || (tensor.hasIntegers && (isBytes || isBoolean))
+                        || tensor.datatype.equals("BF16");
+        if (hasWrongElements) {
             throw new InvalidInferRequestException(
-                    at + ".data",
-                    t.type.equals("BF16")
+                    path + ".data",
+                    tensor.datatype.equals("BF16")
                             ? "BF16 is only sent as binary"
-                            : "holds elements that are not " + t.type);
+                            : "holds elements that are not " + tensor.datatype);
         }
-        if (t.numbers && !real) {
-            int bits = 8 * SIZES.get(t.type);
-            boolean signed = t.type.startsWith("INT");
-            BigInteger most =
-                    BigInteger.ONE.shiftLeft(signed ? bits - 1 : bits).subtract(BigInteger.ONE);
-            BigInteger least = signed ? most.negate().subtract(BigInteger.ONE) : BigInteger.ZERO;
-            if (t.least.compareTo(least) < 0 || t.most.compareTo(most) > 0) {
+        if (tensor.hasIntegers && !isFloat) {
+            int bits = 8 * ELEMENT_BYTES.get(tensor.datatype);
+            boolean isSigned = tensor.datatype.startsWith("INT");
+            BigInteger largestInteger =
+                    BigInteger.ONE.shiftLeft(isSigned ? bits - 1 : bits).subtract(BigInteger.ONE);
+            BigInteger smallestInteger =
+                    isSigned ? largestInteger.negate().subtract(BigInteger.ONE) : BigInteger.ZERO;
+            if (tensor.smallestInteger.compareTo(smallestInteger) < 0
+                    || tensor.largestInteger.compareTo(largestInteger) > 0) {
                 throw new InvalidInferRequestException(
-                        at + ".data", "holds a number beyond " + t.type);
+                        path + ".data", "holds a number beyond " + tensor.datatype);
             }
         }
     }
 
-    /** The binary parts follow the JSON in the order of the inputs and fill the rest exactly. */
-    private void binaries(List<Tensor> inputs) throws InvalidInferRequestException {
+    /**
+     * Checks that the binary data of the inputs, in their order, takes up exactly the part of the
+     * body after the JSON part.
+     */
+    private void validateBinaryData(List<Tensor> inputs) throws InvalidInferRequestException {
         Bytes.Cursor cursor = body.slice(jsonBytes, body.size()).cursor();
         for (int i = 0; i < inputs.size(); i++) {
-            Tensor t = inputs.get(i);
-            if (t.binary < 0) {
+            Tensor tensor = inputs.get(i);
+            if (tensor.binaryBytes < 0) {
                 continue;
             }
-            String at = "inputs[" + i + "].parameters.binary_data_size";
-            if (t.binary > cursor.remaining()) {
+            String path = "inputs[" + i + "].parameters.binary_data_size";
+            if (tensor.binaryBytes > cursor.remaining()) {
                 throw new InvalidInferRequestException(
-                        at, "tells " + t.binary + " bytes where " + cursor.remaining() + " follow");
+                        path,
+                        "tells "
+                                + tensor.binaryBytes
+                                + " bytes where "
+                                + cursor.remaining()
+                                + " follow");
             }
-            int size = SIZES.get(t.type);
-            if (size > 0) {
-                if (t.elements > t.binary || t.elements * size != t.binary) {
+            int elementBytes = ELEMENT_BYTES.get(tensor.datatype);
+            if (elementBytes > 0) {
+                if (tensor.shapeElements > tensor.binaryBytes
+                        || tensor.shapeElements * elementBytes != tensor.binaryBytes) {
                     throw new InvalidInferRequestException(
-                            at,
+                            path,
                             "is "
-                                    + t.binary
+                                    + tensor.binaryBytes
                                     + " where the shape of "
-                                    + t.type
+                                    + tensor.datatype
                                     + " needs "
-                                    + (t.elements > Long.MAX_VALUE / size
+                                    + (tensor.shapeElements > Long.MAX_VALUE / elementBytes
                                             ? "more than can be"
-                                            : t.elements * size));
+                                            : tensor.shapeElements * elementBytes));
                 }
-                cursor.skip(t.binary);
+                cursor.skip(tensor.binaryBytes);
                 continue;
             }
-            long end = cursor.remaining() - t.binary;
-            for (long n = 0; n < t.elements; n++) {
-                if (cursor.remaining() - end < 4) {
+            long remainingAfterTensor = cursor.remaining() - tensor.binaryBytes;
+            for (long element = 0; element < tensor.shapeElements; element++) {
+                if (cursor.remaining() - remainingAfterTensor < 4) {
                     throw new InvalidInferRequestException(
-                            at, "ends before element " + n + " of " + t.elements);
+                            path, "ends before element " + element + " of " + tensor.shapeElements);
                 }
                 long length = cursor.readLittleEndianInt() & 0xFFFFFFFFL;
-                if (length > cursor.remaining() - end) {
+                if (length > cursor.remaining() - remainingAfterTensor) {
                     throw new InvalidInferRequestException(
-                            at, "element " + n + " is longer than what is left");
+                            path, "element " + element + " is longer than what is left");
                 }
                 cursor.skip(length);
             }
-            if (cursor.remaining() != end) {
+            if (cursor.remaining() != remainingAfterTensor) {
                 throw new InvalidInferRequestException(
-                        at, "holds more than the " + t.elements + " elements of the shape");
+                        path,
+                        "holds more than the " + tensor.shapeElements + " elements of the shape");
             }
         }
         if (cursor.remaining() > 0) {
--- a/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
@@ -27,41 +27,56 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * The front for the Open Inference Protocol (KServe v2) over HTTP. An infer request is checked as a
- * stream and passed on as it came; the invoker's answer goes back as it came. A tenant is known by
- * its bearer key, of which only the SHA-256 is configured. An {@code Idempotency-Key} header makes
- * a call one that can be joined and remembered; the request's own id is only an echo, since the
- * protocol does not make it unique.
+ * The front end of the Open Inference Protocol (KServe v2) over HTTP. A model is a function. The
+ * body of an infer request is validated as a stream and forwarded unchanged, and so is the
+ * function's response. A tenant is identified by its bearer key, of which only the SHA-256 hash is
+ * configured.
+ *
+ * <p>An infer request with an {@code Idempotency-Key} header is held in the idempotency store, and
+ * repeats join it. The {@code id} in the body serves neither purpose, since the protocol does not
+ * make it unique.
+ *
+ * <p>Names ending in Micros are durations in microseconds. Not thread-safe: used by the event loop
+ * of its HTTP server.
  */
 public final class KserveFrontEnd implements FrontEnd {
-    private static final String VERSION =
-            "1"; // the one version that there is, until functions have versions
-    private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
+    /** The only model version, since functions have no versions. */
+    private static final String MODEL_VERSION = "1";
+
+    private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[!-~]{1,256}");
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String TYPE = "application/json";
+    private static final String CONTENT_TYPE = "application/json";
 
     private final Kserve config;
     private final List<RequestClass> classes;
     private final TreeSet<String> models;
-    private final long transit;
-    private final Predicate<String> known;
-    private final RequestHandler intake;
-    private final Map<String, Long> turnedAway = new HashMap<>();
+    private final long transitMicros;
+    private final Predicate<String> isKnownModel;
+    private final RequestHandler requestHandler;
+    private final Map<String, Long> rejectedMessages = new HashMap<>();
 
+    /**
+     * Creates a front end.
+     *
+     * @param classes the request classes of the scheduler settings, by index
+     * @param models the models listed in the repository index
+     * @param transitMicros time assumed for a message's way from the client
+     * @param isKnownModel returns whether requests for a model of the given name are accepted
+     */
     public KserveFrontEnd(
             Kserve config,
             List<RequestClass> classes,
             Iterable<String> models,
             long transitMicros,
-            Predicate<String> known,
-            RequestHandler intake) {
+            Predicate<String> isKnownModel,
+            RequestHandler requestHandler) {
         this.config = config;
         this.classes = classes;
         this.models = new TreeSet<>();
         models.forEach(this.models::add);
-        this.transit = transitMicros;
-        this.known = known;
-        this.intake = intake;
+        this.transitMicros = transitMicros;
+        this.isKnownModel = isKnownModel;
+        this.requestHandler = requestHandler;
     }
 
     @Override
@@ -71,107 +86,116 @@
 
     @Override
     public Map<String, Long> rejectedMessagesByReason() {
-        return turnedAway;
+        return rejectedMessages;
     }
 
-    private static String[] parts(String path) {
+    private static String[] pathSegments(String path) {
         return path.substring(1).split("/", -1);
     }
 
-    private static boolean infers(String[] p) {
-        return p.length > 3 && p[1].equals("models") && p[p.length - 1].equals("infer");
+    private static boolean isInferPath(String[] segments) {
+        return segments.length > 3
+                && segments[1].equals("models")
+                && segments[segments.length - 1].equals("infer");
     }
 
-    /**
-     * Turned away before its body where that can be told: without a right to it, a body is not
-     * read.
-     */
+    /** Rejects an infer request without a known bearer key before its body is read. */
     @Override
     public int checkHead(HttpMessage head) {
-        return infers(parts(head.path())) && tenant(head) == null ? 401 : 0;
+        return isInferPath(pathSegments(head.path())) && tenant(head) == null ? 401 : 0;
     }
 
     @Override
-    public void handle(HttpServer.Exchange e) {
-        String[] p = parts(e.message().path());
-        boolean get = e.message().method().equals("GET");
-        boolean post = e.message().method().equals("POST");
-        boolean model = p.length >= 3 && p[1].equals("models");
-        int at = model && p.length >= 5 && p[3].equals("versions") ? 5 : 3;
-        String last = model && p.length == at + 1 ? p[at] : model && p.length == at ? "" : null;
-        if (p.length == 1 && get) {
+    public void handle(HttpServer.Exchange exchange) {
+        String[] segments = pathSegments(exchange.message().path());
+        boolean isGet = exchange.message().method().equals("GET");
+        boolean isPost = exchange.message().method().equals("POST");
+        boolean isModelPath = segments.length >= 3 && segments[1].equals("models");
+        int actionIndex =
+                isModelPath && segments.length >= 5 && segments[3].equals("versions") ? 5 : 3;
+        String action =
+                isModelPath && segments.length == actionIndex + 1
+                        ? segments[actionIndex]
+                        : isModelPath && segments.length == actionIndex ? "" : null;
+        if (segments.length == 1 && isGet) {
             answer(
-                    e,
+                    exchange,
                     200,
-                    g -> {
-                        g.writeStringField("name", "waytrestle");
-                        g.writeStringField("version", "0.2.0");
-                        g.writeArrayFieldStart("extensions");
-                        g.writeString("binary_tensor_data");
-                        g.writeString("model_repository");
-                        g.writeEndArray();
+                    json -> {
+                        json.writeStringField("name", "waytrestle");
+                        json.writeStringField("version", "0.2.0");
+                        json.writeArrayFieldStart("extensions");
+                        json.writeString("binary_tensor_data");
+                        json.writeString("model_repository");
+                        json.writeEndArray();
                     });
-        } else if (p.length == 3
-                && p[1].equals("health")
-                && get
-                && (p[2].equals("live") || p[2].equals("ready"))) {
-            boolean up = p[2].equals("live") || intake.hasReadyInvoker();
-            answer(e, up ? 200 : 503, g -> g.writeBooleanField(p[2], up));
-        } else if (tenant(e.message()) == null) { // what there is, is for those who may call it
-            fault(e, 401, "bearer", "no bearer key that is known here");
-        } else if (p.length == 3 && p[1].equals("repository") && p[2].equals("index") && post) {
-            index(e);
-        } else if (p.length > 2 && p[1].equals("repository")) {
-            fault(
-                    e,
+        } else if (segments.length == 3
+                && segments[1].equals("health")
+                && isGet
+                && (segments[2].equals("live") || segments[2].equals("ready"))) {
+            boolean isUp = segments[2].equals("live") || requestHandler.hasReadyInvoker();
+            answer(exchange, isUp ? 200 : 503, json -> json.writeBooleanField(segments[2], isUp));
+        } else if (tenant(exchange.message()) == null) { // models are disclosed only to tenants
+            reject(exchange, 401, "bearer", "no bearer key that is known here");
+        } else if (segments.length == 3
+                && segments[1].equals("repository")
+                && segments[2].equals("index")
+                && isPost) {
+            writeModelIndex(exchange);
+        } else if (segments.length > 2 && segments[1].equals("repository")) {
+            reject(
+                    exchange,
                     405,
                     "method",
                     "the repository is only read here: load and unload are the gateway's own");
-        } else if (model && last != null && (last.equals("infer") ? post : get)) {
-            String version = at == 5 ? p[4] : VERSION;
-            if (!FrontEnds.isFunctionName(p[2]) || !version.equals(VERSION) || !known.test(p[2])) {
-                fault(
-                        e,
+        } else if (isModelPath && action != null && (action.equals("infer") ? isPost : isGet)) {
+            String version = actionIndex == 5 ? segments[4] : MODEL_VERSION;
+            if (!FrontEnds.isFunctionName(segments[2])
+                    || !version.equals(MODEL_VERSION)
+                    || !isKnownModel.test(segments[2])) {
+                reject(
+                        exchange,
                         404,
                         "unknown-function",
-                        "there is no model " + p[2] + " of version " + version);
-            } else if (last.equals("infer")) {
-                infer(e, p[2]);
-            } else if (last.equals("ready")) {
+                        "there is no model " + segments[2] + " of version " + version);
+            } else if (action.equals("infer")) {
+                infer(exchange, segments[2]);
+            } else if (action.equals("ready")) {
                 answer(
-                        e,
-                        intake.hasReadyInvoker() ? 200 : 503,
-                        g -> {
-                            g.writeStringField("name", p[2]);
-                            g.writeBooleanField("ready", intake.hasReadyInvoker());
+                        exchange,
+                        requestHandler.hasReadyInvoker() ? 200 : 503,
+                        json -> {
+                            json.writeStringField("name", segments[2]);
+                            json.writeBooleanField("ready", requestHandler.hasReadyInvoker());
                         });
-            } else if (last.isEmpty()) {
-                metadata(e, p[2]);
+            } else if (action.isEmpty()) {
+                writeModelMetadata(exchange, segments[2]);
             } else {
-                fault(e, 404, "path", "there is nothing at this path");
+                reject(exchange, 404, "path", "there is nothing at this path");
             }
         } else {
-            fault(
-                    e,
-                    model && last != null ? 405 : 404,
+            reject(
+                    exchange,
+                    isModelPath && action != null ? 405 : 404,
                     "path",
                     "there is nothing at this path for this method");
         }
     }
 
-    private interface Fields {
+    /** Writes the content of a JSON document. */
+    private interface JsonWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    private static byte[] json(Fields fields, boolean object) {
+    private static byte[] toJson(JsonWriter writer, boolean inObject) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
-        try (JsonGenerator g = JSON.createGenerator(out)) {
-            if (object) {
-                g.writeStartObject();
+        try (JsonGenerator json = JSON.createGenerator(out)) {
+            if (inObject) {
+                json.writeStartObject();
             }
-            fields.write(g);
-            if (object) {
-                g.writeEndObject();
+            writer.write(json);
+            if (inObject) {
+                json.writeEndObject();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -179,98 +203,117 @@
         return out.toByteArray();
     }
 
+    /** Responds with a JSON object. */
     private static void answer(
-            HttpServer.Exchange e, int status, Fields fields, String... headers) {
-        e.answer(status, TYPE, json(fields, true), headers);
+            HttpServer.Exchange exchange, int status, JsonWriter writer, String... headers) {
+        exchange.answer(status, CONTENT_TYPE, toJson(writer, true), headers);
     }
 
-    /** The error object of the specification; nothing was done, so coming again is harmless. */
-    private void fault(HttpServer.Exchange e, int status, String reason, String text) {
-        turnedAway.merge(reason, 1L, Long::sum);
-        answer(e, status, g -> g.writeStringField("error", text), "Waytrestle-Harmless", "true");
+    /**
+     * Counts a message as rejected and responds with the protocol's error object. The message has
+     * not become a request, so a retry is harmless.
+     */
+    private void reject(HttpServer.Exchange exchange, int status, String reason, String text) {
+        rejectedMessages.merge(reason, 1L, Long::sum);
+        answer(
+                exchange,
+                status,
+                json -> json.writeStringField("error", text),
+                "Waytrestle-Harmless",
+                "true");
     }
 
     @Override
-    public HttpServer.Refusal refusal(String path, HttpError e) {
+    public HttpServer.Refusal refusal(String path, HttpError error) {
         return new HttpServer.Refusal(
-                TYPE,
-                json(
-                        g ->
-                                g.writeStringField(
+                CONTENT_TYPE,
+                toJson(
+                        json ->
+                                json.writeStringField(
                                         "error",
-                                        e.status() == 401
+                                        error.status() == 401
                                                 ? "no bearer key that is known here"
-                                                : e.getMessage()),
+                                                : error.getMessage()),
                         true));
     }
 
-    private void index(HttpServer.Exchange e) {
-        e.answer(
+    private void writeModelIndex(HttpServer.Exchange exchange) {
+        exchange.answer(
                 200,
-                TYPE,
-                json(
-                        g -> {
-                            g.writeStartArray();
+                CONTENT_TYPE,
+                toJson(
+                        json -> {
+                            json.writeStartArray();
                             for (String name : models) {
-                                g.writeStartObject();
-                                g.writeStringField("name", name);
-                                g.writeStringField("version", VERSION);
-                                g.writeStringField("state", "READY");
-                                g.writeStringField("reason", "");
-                                g.writeEndObject();
+                                json.writeStartObject();
+                                json.writeStringField("name", name);
+                                json.writeStringField("version", MODEL_VERSION);
+                                json.writeStringField("state", "READY");
+                                json.writeStringField("reason", "");
+                                json.writeEndObject();
                             }
-                            g.writeEndArray();
+                            json.writeEndArray();
                         },
                         false));
     }
 
-    private void metadata(HttpServer.Exchange e, String name) {
+    private void writeModelMetadata(HttpServer.Exchange exchange, String name) {
         answer(
-                e,
+                exchange,
                 200,
-                g -> {
-                    g.writeStringField("name", name);
-                    g.writeArrayFieldStart("versions");
-                    g.writeString(VERSION);
-                    g.writeEndArray();
-                    g.writeStringField("platform", "waytrestle");
-                    g.writeArrayFieldStart("inputs");
-                    g.writeEndArray();
-                    g.writeArrayFieldStart("outputs");
-                    g.writeEndArray();
+                json -> {
+                    json.writeStringField("name", name);
+                    json.writeArrayFieldStart("versions");
+                    json.writeString(MODEL_VERSION);
+                    json.writeEndArray();
+                    json.writeStringField("platform", "waytrestle");
+                    json.writeArrayFieldStart("inputs");
+                    json.writeEndArray();
+                    json.writeArrayFieldStart("outputs");
+                    json.writeEndArray();
                 });
     }
 
-    /** The tenant of the bearer key, null where there is none. */
-    private Integer tenant(HttpMessage m) {
-        String given = m.header("authorization");
-        if (given == null || !given.regionMatches(true, 0, "Bearer ", 0, 7)) {
+    /** Returns the tenant that the bearer key belongs to, null without a known key. */
+    private Integer tenant(HttpMessage message) {
+        String authorization = message.header("authorization");
+        if (authorization == null || !authorization.regionMatches(true, 0, "Bearer ", 0, 7)) {
             return null;
         }
         try {
-            byte[] hash =
+            byte[] keyHash =
                     MessageDigest.getInstance("SHA-256")
-                            .digest(given.substring(7).trim().getBytes(StandardCharsets.UTF_8));
-            return config.tenantByKey().get(HexFormat.of().formatHex(hash));
+                            .digest(
+                                    authorization
+                                            .substring(7)
+                                            .trim()
+                                            .getBytes(StandardCharsets.UTF_8));
+            return config.tenantByKey().get(HexFormat.of().formatHex(keyHash));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("this Java lacks SHA-256", e);
+            throw new IllegalStateException("the Java runtime does not provide SHA-256", e);
         }
     }
 
-    private void infer(HttpServer.Exchange e, String model) {
-        HttpMessage m = e.message();
-        int tenant = tenant(m);
-        String length = m.header("inference-header-content-length");
-        long size = m.content().size();
+    private void infer(HttpServer.Exchange exchange, String model) {
+        HttpMessage message = exchange.message();
+        int tenant = tenant(message);
+        String length = message.header("inference-header-content-length");
+        long bodyBytes = message.content().size();
         long jsonBytes =
-                length == null ? size : length.matches("\\d{1,9}") ? Long.parseLong(length) : -1;
-        if (jsonBytes < 0 || jsonBytes > size) {
-            fault(e, 400, "tensor", "Inference-Header-Content-Length: must be from 0 to " + size);
+                length == null
+                        ? bodyBytes
+                        : length.matches("\\d{1,9}") ? Long.parseLong(length) : -1;
+        if (jsonBytes < 0 || jsonBytes > bodyBytes) {
+            reject(
+                    exchange,
+                    400,
+                    "tensor",
+                    "Inference-Header-Content-Length: must be from 0 to " + bodyBytes);
             return;
         }
         if (jsonBytes > config.jsonBytes()) {
-            fault(
-                    e,
+            reject(
+                    exchange,
                     413,
                     "json",
                     "the JSON part is over "
@@ -278,117 +321,135 @@
                             + " bytes; send tensors as binary");
             return;
         }
-        String key = m.header("idempotency-key");
-        if (key != null && !KEY.matcher(key).matches()) {
-            fault(e, 400, "key", "Idempotency-Key: must be 1 to 256 visible characters");
+        String key = message.header("idempotency-key");
+        if (key != null && !IDEMPOTENCY_KEY.matcher(key).matches()) {
+            reject(exchange, 400, "key", "Idempotency-Key: must be 1 to 256 visible characters");
             return;
         }
-        InferRequestValidator.ValidatedRequest checked;
+        InferRequestValidator.ValidatedRequest validatedRequest;
         try {
-            checked = InferRequestValidator.validate(m.content(), (int) jsonBytes);
-        } catch (InferRequestValidator.InvalidInferRequestException wrong) {
-            fault(e, 400, "tensor", wrong.getMessage());
+            validatedRequest = InferRequestValidator.validate(message.content(), (int) jsonBytes);
+        } catch (InferRequestValidator.InvalidInferRequestException invalidRequest) {
+            reject(exchange, 400, "tensor", invalidRequest.getMessage());
             return;
         }
-        int kind = config.classByModel().getOrDefault(model, config.requestClass());
-        RequestClass requestClass = classes.get(kind);
-        long digest = FrontEnds.payloadDigest(m.content());
-        // Nothing is signed here, so a call counts as signed just now, after whatever this gateway
-        // may have forgotten.
-        IdempotencyStore.KeyedRequest arrival =
+        int classIndex = config.classByModel().getOrDefault(model, config.requestClass());
+        RequestClass requestClass = classes.get(classIndex);
+        long digest = FrontEnds.payloadDigest(message.content());
+        // The protocol has no signing time. A request counts as signed one second from now, after
+        // the time up to which the idempotency store may have forgotten requests, so that a request
+        // with an unknown key is a new request.
+        IdempotencyStore.KeyedRequest keyedRequest =
                 key == null
                         ? null
                         : new IdempotencyStore.KeyedRequest(
                                 "kserve " + tenant + " " + model + " " + key,
                                 requestClass.idempotency(),
                                 requestClass.deduplicationWindowMicros(),
-                                intake.wallSeconds() + 1,
+                                requestHandler.wallSeconds() + 1,
                                 digest);
-        long mark =
-                arrival != null
-                        ? arrival.key().hashCode() | 1L << 41
-                        : checked.id() == null ? 0 : digest ^ checked.id().hashCode() ^ tenant;
-        RequestHandler.PendingResponse ticket =
-                intake.accept(
+        // Bit 41 keeps the fingerprint of a request with an idempotency key from being 0, which
+        // stands for no fingerprint.
+        long retryFingerprint =
+                keyedRequest != null
+                        ? keyedRequest.key().hashCode() | 1L << 41
+                        : validatedRequest.id() == null
+                                ? 0
+                                : digest ^ validatedRequest.id().hashCode() ^ tenant;
+        RequestHandler.PendingResponse pendingResponse =
+                requestHandler.accept(
                         new RequestHandler.IncomingRequest(
-                                kind,
+                                classIndex,
                                 tenant,
                                 model,
-                                arrival,
-                                mark,
+                                keyedRequest,
+                                retryFingerprint,
                                 FrontEnds.timeLeftMicros(
-                                        e, requestClass, checked.timeoutMicros(), transit),
-                                TYPE,
-                                m.content(),
+                                        exchange,
+                                        requestClass,
+                                        validatedRequest.timeoutMicros(),
+                                        transitMicros),
+                                CONTENT_TYPE,
+                                message.content(),
                                 (int) jsonBytes),
-                        end -> ended(e, end));
-        if (e.isOpen()) {
-            e.onClientDisconnect(ticket::clientDisconnected);
+                        outcome -> writeOutcome(exchange, outcome));
+        if (exchange.isOpen()) {
+            exchange.onClientDisconnect(pendingResponse::clientDisconnected);
         }
     }
 
-    private static void ended(HttpServer.Exchange e, RequestOutcome end) {
-        if (!e.isOpen()) {
+    private static void writeOutcome(HttpServer.Exchange exchange, RequestOutcome outcome) {
+        if (!exchange.isOpen()) {
             return;
         }
-        if (end instanceof RequestOutcome.Served served) {
+        if (outcome instanceof RequestOutcome.Served served) {
             if (served.jsonBytes() >= 0) {
-                e.answer(
+                exchange.answer(
                         200,
                         served.contentType(),
                         served.body(),
                         "Inference-Header-Content-Length",
                         Integer.toString(served.jsonBytes()));
             } else {
-                e.answer(200, served.contentType(), served.body());
+                exchange.answer(200, served.contentType(), served.body());
             }
             return;
         }
-        long millis = FrontEnds.retryAfterMillis(end);
-        String harmless = Boolean.toString(FrontEnds.isRetryHarmless(end));
-        if (end instanceof RequestOutcome.FunctionError own) {
-            String text = FunctionErrorBody.messageUnlessErrorObject(own.body());
-            if (text == null) { // an error object of the protocol already
-                e.answer(own.status(), TYPE, own.body(), "Waytrestle-Harmless", harmless);
+        long retryAfterMillis = FrontEnds.retryAfterMillis(outcome);
+        String retryHarmless = Boolean.toString(FrontEnds.isRetryHarmless(outcome));
+        if (outcome instanceof RequestOutcome.FunctionError functionError) {
+            String text = FunctionErrorBody.messageUnlessErrorObject(functionError.body());
+            if (text == null) { // already an error object of the protocol
+                exchange.answer(
+                        functionError.status(),
+                        CONTENT_TYPE,
+                        functionError.body(),
+                        "Waytrestle-Harmless",
+                        retryHarmless);
             } else {
                 answer(
-                        e,
-                        own.status(),
-                        g ->
-                                g.writeStringField(
+                        exchange,
+                        functionError.status(),
+                        json ->
+                                json.writeStringField(
                                         "error",
                                         text.isEmpty()
-                                                ? "the model answered " + own.status()
+                                                ? "the model answered " + functionError.status()
                                                 : text),
                         "Waytrestle-Harmless",
-                        harmless);
+                        retryHarmless);
             }
             return;
         }
-        RequestOutcome.AttemptSummary tried = FrontEnds.attemptSummary(end);
-        Fields fields =
-                g -> {
-                    g.writeStringField("error", FrontEnds.reason(end).description());
-                    g.writeStringField("reason", FrontEnds.reasonCode(end));
-                    if (!tried.lastResponseText().isEmpty()) {
-                        g.writeNumberField("attempts", tried.forwardedAttempts());
-                        g.writeStringField("last", tried.lastResponseText());
+        RequestOutcome.AttemptSummary attemptSummary = FrontEnds.attemptSummary(outcome);
+        JsonWriter writer =
+                json -> {
+                    json.writeStringField("error", FrontEnds.reason(outcome).description());
+                    json.writeStringField("reason", FrontEnds.reasonCode(outcome));
+                    if (!attemptSummary.lastResponseText().isEmpty()) {
+                        json.writeNumberField("attempts", attemptSummary.forwardedAttempts());
+                        json.writeStringField("last", attemptSummary.lastResponseText());
                     }
-                    if (millis > 0) {
-                        g.writeNumberField("retry_after_ms", millis);
+                    if (retryAfterMillis > 0) {
+                        json.writeNumberField("retry_after_ms", retryAfterMillis);
                     }
                 };
-        if (millis > 0) {
+        if (retryAfterMillis > 0) {
             answer(
-                    e,
-                    FrontEnds.httpStatus(end),
-                    fields,
+                    exchange,
+                    FrontEnds.httpStatus(outcome),
+                    writer,
                     "Waytrestle-Harmless",
-                    harmless,
+                    retryHarmless,
                     "Retry-After",
-                    Long.toString((millis + 999) / 1_000));
+                    Long.toString((retryAfterMillis + 999) / 1_000));
         } else {
-            answer(e, FrontEnds.httpStatus(end), fields, "Waytrestle-Harmless", harmless);
+            answer(
+                    exchange,
+                    FrontEnds.httpStatus(outcome),
+                    writer,
+                    "Waytrestle-Harmless",
+                    retryHarmless);
         }
     }
 }
--- a/src/main/java/waytrestle/front/platform/FunctionHintsReader.java
+++ b/src/main/java/waytrestle/front/platform/FunctionHintsReader.java
@@ -5,28 +5,32 @@
 import waytrestle.scheduler.SchedulerSettings.Preloading;
 
 /**
- * Reads what a request's headers say of its function and of earlier sends.
+ * Reads the headers in which a request declares the resource needs of its function and whether the
+ * request is a retry.
+ *
+ * <p>Names ending in Millis are durations in milliseconds, names ending in Mb are in megabytes.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class FunctionHintsReader {
-    private static final String RESENT = "x-resent";
-    private static final String ESTIMATE = "x-estimate-ms";
-    private static final String EXTRAS = "x-extras";
+    private static final String RETRY_HEADER = "x-resent";
+    private static final String WORK_ESTIMATE_HEADER = "x-estimate-ms";
+    private static final String EXTRAS_HEADER = "x-extras";
 
-    /** A function instance that runs more requests at once is out of any range. */
+    /** Limit of the requests that a function instance may run at a time; no instance runs more. */
     private static final int MAX_CONCURRENCY_PER_INSTANCE = 4_096;
 
-    /** A longer load or run outlasts any request. */
+    /** Limit of a load time or work time: a longer one would outlast any request. */
     private static final long MAX_DURATION_MILLIS = 600_000;
 
-    /** Limit where no kind of invoker declares its memory. */
+    /** Limit of a function instance's memory if no kind of invoker declares its memory. */
     private static final double DEFAULT_MAX_MEMORY_MB = 1e9;
 
     private static final double MICROS_PER_MILLI = 1_000;
 
     private final double maxMemoryMb;
 
+    /** Creates a reader that rejects functions larger than the memory of the largest invoker. */
     FunctionHintsReader(Preloading preloading) {
         double largestInvokerMb = 0;
         for (double memoryMb : preloading.memoryByKind()) {
@@ -35,46 +39,49 @@
         this.maxMemoryMb = largestInvokerMb > 0 ? largestInvokerMb : DEFAULT_MAX_MEMORY_MB;
     }
 
-    /** Reads the hints; those that are not given are 0. */
+    /** Reads the hints; a value that the request does not declare is 0. */
     FunctionHints read(HttpMessage message) throws InvalidRequestException {
-        boolean resent = readResent(message);
-        double workMillis = readEstimateMillis(message);
+        boolean retry = readRetry(message);
+        double workMillis = readWorkMillis(message);
         Extras extras = readExtras(message);
         return new FunctionHints(
                 extras.memoryMb,
                 extras.concurrencyPerInstance,
                 Math.round(extras.loadMillis * MICROS_PER_MILLI),
                 Math.round(workMillis * MICROS_PER_MILLI),
-                resent);
+                retry);
     }
 
-    private static boolean readResent(HttpMessage message) throws InvalidRequestException {
-        if (message.occurrences(RESENT) == 0) {
+    private static boolean readRetry(HttpMessage message) throws InvalidRequestException {
+        if (message.occurrences(RETRY_HEADER) == 0) {
             return false;
         }
-        if (!HeaderValues.single(message, RESENT).equals("1")) {
+        if (!HeaderValues.single(message, RETRY_HEADER).equals("1")) {
             throw InvalidRequestException.badRequest("X-Resent is not 1");
         }
         return true;
     }
 
-    private static double readEstimateMillis(HttpMessage message) throws InvalidRequestException {
-        if (message.occurrences(ESTIMATE) == 0) {
+    private static double readWorkMillis(HttpMessage message) throws InvalidRequestException {
+        if (message.occurrences(WORK_ESTIMATE_HEADER) == 0) {
             return 0;
         }
         return HeaderValues.decimal(
-                HeaderValues.single(message, ESTIMATE),
+                HeaderValues.single(message, WORK_ESTIMATE_HEADER),
                 MAX_DURATION_MILLIS,
                 "X-Estimate-Ms is out of range");
     }
 
-    /** Reads a list as in {@code memory_mb:512;lanes:2;load_ms:640}; the last of a name counts. */
+    /**
+     * Reads a list such as {@code memory_mb:512;lanes:2;load_ms:640}. If a name occurs several
+     * times, its last value counts.
+     */
     private Extras readExtras(HttpMessage message) throws InvalidRequestException {
         Extras extras = new Extras();
-        if (message.occurrences(EXTRAS) == 0) {
+        if (message.occurrences(EXTRAS_HEADER) == 0) {
             return extras;
         }
-        for (String entry : HeaderValues.single(message, EXTRAS).split(";", -1)) {
+        for (String entry : HeaderValues.single(message, EXTRAS_HEADER).split(";", -1)) {
             int colon = entry.indexOf(':');
             String name = colon < 0 ? "" : entry.substring(0, colon).trim();
             String value = entry.substring(colon + 1).trim();
@@ -105,7 +112,7 @@
         }
     }
 
-    /** The values of the extras header while it is being read. */
+    /** Collects the values of the extras header while it is read. */
     private static final class Extras {
         private double memoryMb;
         private int concurrencyPerInstance;
--- a/src/main/java/waytrestle/front/platform/InvalidRequestException.java
+++ b/src/main/java/waytrestle/front/platform/InvalidRequestException.java
@@ -1,8 +1,9 @@
 package waytrestle.front.platform;
 
 /**
- * A message is not a valid request, so it is rejected before it reaches the core. The message text
- * is the response's body and the label it is counted by.
+ * An HTTP message is not a valid request and is rejected before it reaches the request handler. The
+ * exception's message is the body of the response, and the metric label under which the rejection
+ * is counted.
  */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -10,18 +11,18 @@
 
     private final int status;
 
-    /** Made without a stack trace: invalid requests may come in floods. */
+    /** Creates an exception without a stack trace, since invalid requests may come in floods. */
     InvalidRequestException(int status, String description) {
         super(description, null, false, false);
         this.status = status;
     }
 
-    /** A header's value is missing, given twice or out of range. */
+    /** Returns the exception for a header whose value is missing, repeated or invalid. */
     static InvalidRequestException badRequest(String description) {
         return new InvalidRequestException(BAD_REQUEST, description);
     }
 
-    /** The HTTP status to reject it by. */
+    /** Returns the HTTP status of the response. */
     int status() {
         return status;
     }
--- a/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
+++ b/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
@@ -16,8 +16,8 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * Takes the platform's requests, hands them to the core and answers with their outcome; answers
- * readiness checks.
+ * The front end of the platform's protocol: parses requests, hands them to the request handler and
+ * responds with their outcomes. Also responds to readiness checks.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -25,8 +25,8 @@
     private static final String READINESS_PATH = "/check";
     private static final String READINESS_METHOD = "GET";
 
-    /** Metric label of messages that could not be read as HTTP. */
-    private static final String UNREADABLE_MESSAGE_LABEL = "unread";
+    /** Metric label of messages that are not valid HTTP. */
+    private static final String MALFORMED_MESSAGE_LABEL = "unread";
 
     private static final int CONTINUE_READING = 0;
     private static final int NO_TENANT = -1;
@@ -41,7 +41,12 @@
     private boolean ready;
     private boolean shuttingDown;
 
-    /** Requests of the given classes are handed to the handler. */
+    /**
+     * Creates a front end that fails its readiness check until {@link #markReady}.
+     *
+     * @param classes the request classes of the scheduler settings, by index
+     * @param handler receives all valid requests
+     */
     public PlatformFrontEnd(
             List<RequestClass> classes, Preloading preloading, RequestHandler handler) {
         this.classes = classes;
@@ -50,19 +55,19 @@
     }
 
     /**
-     * From now on the readiness check succeeds. Requests that come before that are accepted all the
-     * same, and wait.
+     * Makes the readiness check succeed. Requests that arrive before this call are accepted too,
+     * and wait.
      */
     public void markReady() {
         ready = true;
     }
 
-    /** From now on the readiness check fails, so that clients go elsewhere. */
+    /** Makes the readiness check fail, so that clients choose another controller. */
     public void startShutdown() {
         shuttingDown = true;
     }
 
-    /** Number of clients that wait for the response to a request. */
+    /** Returns the number of clients that wait for the response to a request. */
     public int requestsInFlight() {
         return requestsInFlight;
     }
@@ -89,7 +94,7 @@
 
     @Override
     public HttpServer.Refusal refusal(String path, HttpError error) {
-        countRejected(UNREADABLE_MESSAGE_LABEL);
+        countRejected(MALFORMED_MESSAGE_LABEL);
         return new HttpServer.Refusal(
                 PlatformResponseWriter.CONTENT_TYPE,
                 PlatformResponseWriter.body(error.getMessage()));
@@ -154,7 +159,7 @@
                 request.correlationId());
     }
 
-    /** Answers one exchange with the outcome of its request. */
+    /** Writes the outcome of a request to the exchange of its client. */
     private final class ExchangeListener implements RequestHandler.ResponseListener {
         private final HttpServer.Exchange exchange;
 
--- a/src/main/java/waytrestle/front/platform/PlatformRequestReader.java
+++ b/src/main/java/waytrestle/front/platform/PlatformRequestReader.java
@@ -9,8 +9,8 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * Reads and checks {@code POST /do/FUNCTION/call}. Values that no client can mean are rejected
- * here, so that no invoker is ever sent them.
+ * Reads and validates {@code POST /do/FUNCTION/call} requests. Values out of any plausible range
+ * are rejected, so that they never reach an invoker.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -21,10 +21,12 @@
 
     private static final String PATH_PREFIX = "/do/";
     private static final String PATH_SUFFIX = "/call";
-    private static final int ID_HEX_DIGITS = 16;
 
-    /** A deadline of more than so many times that of its class is out of any range. */
-    private static final int MAX_CLASS_DEADLINES = 10;
+    /** Length of a function id and of a correlation id, in hexadecimal digits. */
+    private static final int ID_LENGTH = 16;
+
+    /** Limit of a request's deadline, as a multiple of the deadline of its request class. */
+    private static final int MAX_DEADLINE_FACTOR = 10;
 
     private static final long MIN_DEADLINE_MILLIS = 1;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -41,12 +43,12 @@
         }
     }
 
-    /** Whether a path is that of a request, as far as its prefix tells. */
+    /** Returns whether a path begins with the prefix of request paths; the rest is not checked. */
     static boolean isRequestPath(String path) {
         return path.startsWith(PATH_PREFIX);
     }
 
-    /** Reads a message; the first check that fails decides its rejection. */
+    /** Reads a request; the exception for an invalid one is that of the first failed check. */
     PlatformRequest read(HttpMessage message) throws InvalidRequestException {
         String function = readFunction(message);
         int requestClass = readClass(message);
@@ -65,7 +67,7 @@
         }
         String target = message.target();
         int functionStart = PATH_PREFIX.length();
-        int functionEnd = functionStart + ID_HEX_DIGITS;
+        int functionEnd = functionStart + ID_LENGTH;
         String function = target.substring(functionStart, Math.min(target.length(), functionEnd));
         if (!isHexId(function) || !target.substring(functionEnd).equals(PATH_SUFFIX)) {
             throw new InvalidRequestException(
@@ -92,14 +94,14 @@
 
     private static long readDeadlineMillis(HttpMessage message, RequestClass requestClass)
             throws InvalidRequestException {
-        long maxMillis = requestClass.deadlineMicros() / MICROS_PER_MILLI * MAX_CLASS_DEADLINES;
+        long maxMillis = requestClass.deadlineMicros() / MICROS_PER_MILLI * MAX_DEADLINE_FACTOR;
         String value = HeaderValues.single(message, "x-deadline-ms");
         return HeaderValues.integer(
                 value, MIN_DEADLINE_MILLIS, maxMillis, "X-Deadline-Ms is out of range");
     }
 
     private static boolean isHexId(String text) {
-        return text.length() == ID_HEX_DIGITS
+        return text.length() == ID_LENGTH
                 && text.chars().allMatch(PlatformRequestReader::isLowerCaseHexDigit);
     }
 
--- a/src/main/java/waytrestle/front/platform/PlatformResponseWriter.java
+++ b/src/main/java/waytrestle/front/platform/PlatformResponseWriter.java
@@ -6,8 +6,8 @@
 import waytrestle.requests.RequestOutcome;
 
 /**
- * Words the responses to clients. A rejection says that a retry is harmless; a failure says that
- * the request may have run. Stateless.
+ * Writes the responses to clients. The status tells a rejection (429 or 503), after which a retry
+ * is harmless, from a failure, after which the request may have run. Stateless.
  */
 final class PlatformResponseWriter {
     static final String CONTENT_TYPE = "text/plain";
@@ -21,22 +21,22 @@
 
     private PlatformResponseWriter() {}
 
-    /** The body of a response that says one line. */
+    /** Returns the body of a response with one line of text. */
     static byte[] body(String line) {
         return (line + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Answers a readiness check. */
+    /** Responds to a readiness check. */
     static void writeReadiness(HttpServer.Exchange exchange, Readiness readiness) {
         exchange.answer(readiness.status(), CONTENT_TYPE, body(readiness.wireText()));
     }
 
-    /** Answers a message that is not a valid request. */
+    /** Responds to a message that is not a valid request. */
     static void writeInvalidRequest(HttpServer.Exchange exchange, InvalidRequestException reason) {
         exchange.answer(reason.status(), CONTENT_TYPE, body(reason.getMessage()));
     }
 
-    /** Answers a request with its outcome, unless its client has disconnected. */
+    /** Responds with the outcome of a request, unless its client has disconnected. */
     static void writeOutcome(HttpServer.Exchange exchange, RequestOutcome outcome) {
         if (!exchange.isOpen()) {
             return;
@@ -52,14 +52,15 @@
     }
 
     private static int failureStatus(RequestOutcome outcome) {
-        boolean otherRequest = FrontEnds.reason(outcome) == RequestOutcome.Reason.PAYLOAD_MISMATCH;
-        return otherRequest ? CONFLICT : FrontEnds.httpStatus(outcome);
+        boolean payloadMismatch =
+                FrontEnds.reason(outcome) == RequestOutcome.Reason.PAYLOAD_MISMATCH;
+        return payloadMismatch ? CONFLICT : FrontEnds.httpStatus(outcome);
     }
 
     private static void writeRejected(
             HttpServer.Exchange exchange, RequestOutcome.Rejected rejected) {
-        boolean overLimit = rejected.reason() == RequestOutcome.Reason.TOO_MANY_IN_FLIGHT;
-        int status = overLimit ? TOO_MANY_REQUESTS : SERVICE_UNAVAILABLE;
+        boolean tooManyInFlight = rejected.reason() == RequestOutcome.Reason.TOO_MANY_IN_FLIGHT;
+        int status = tooManyInFlight ? TOO_MANY_REQUESTS : SERVICE_UNAVAILABLE;
         byte[] body = body(FrontEnds.reasonCode(rejected));
         long retryAfterMillis = rejected.retryAfterMicros() / MICROS_PER_MILLI;
         if (retryAfterMillis > 0) {
--- a/src/main/java/waytrestle/front/platform/Readiness.java
+++ b/src/main/java/waytrestle/front/platform/Readiness.java
@@ -1,6 +1,6 @@
 package waytrestle.front.platform;
 
-/** What the readiness check says, with its wording on the wire. */
+/** A result of the readiness check, with the body and the HTTP status of its response. */
 enum Readiness {
     STARTING("starting", 503),
     READY("ready", 200),
--- a/src/main/java/waytrestle/front/platform/RequestIdentity.java
+++ b/src/main/java/waytrestle/front/platform/RequestIdentity.java
@@ -9,15 +9,19 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * By what a request that comes again is recognised: its correlation id, and a digest of all that a
- * client sends unchanged with it. Stateless.
+ * Determines what identifies a request when its client sends it again: the correlation id, and a
+ * digest of everything that a retry repeats unchanged. Stateless.
  */
 final class RequestIdentity {
     private static final int HASH_BITS = 32;
 
     private RequestIdentity() {}
 
-    /** The identity of a request. */
+    /**
+     * Returns the idempotency key and payload digest of a request.
+     *
+     * @param requestClass the class of the request
+     */
     static KeyedRequest of(PlatformRequest request, RequestClass requestClass, Bytes body) {
         return new KeyedRequest(
                 request.correlationId(),
@@ -27,14 +31,17 @@
                 digest(request, body));
     }
 
-    /** The time left and the mark of a retry may differ between the two. */
+    /**
+     * Returns a digest of the body and of all header values except the deadline and the retry mark,
+     * in which a retry may differ from the first request.
+     */
     private static long digest(PlatformRequest request, Bytes body) {
-        CRC32 checksum = new CRC32();
+        CRC32 bodyChecksum = new CRC32();
         for (ByteBuffer part : body.buffers()) {
-            checksum.update(part);
+            bodyChecksum.update(part);
         }
         FunctionHints hints = request.hints();
-        int fields =
+        int fieldsHash =
                 Objects.hash(
                         request.function(),
                         request.requestClass(),
@@ -43,6 +50,6 @@
                         hints.concurrencyPerInstance(),
                         hints.loadMicros(),
                         hints.workMicros());
-        return checksum.getValue() << HASH_BITS | Integer.toUnsignedLong(fields);
+        return bodyChecksum.getValue() << HASH_BITS | Integer.toUnsignedLong(fieldsHash);
     }
 }
--- a/src/main/java/waytrestle/front/webhook/JsonPointerReader.java
+++ b/src/main/java/waytrestle/front/webhook/JsonPointerReader.java
@@ -8,24 +8,26 @@
 import com.fasterxml.jackson.core.filter.TokenFilter;
 import java.io.IOException;
 
-/** Reads the function's name out of a payload. */
+/**
+ * Reads the string at a JSON pointer (RFC 6901), such as the function name in a payload. Stateless.
+ */
 public final class JsonPointerReader {
     private static final JsonFactory JSON = new JsonFactory();
 
     private JsonPointerReader() {}
 
     /**
-     * The text at a JSON pointer, read without building the payload's tree; null where there is
-     * none.
+     * Returns the string at the pointer; null if the JSON is malformed up to there or has no string
+     * there. Reads the JSON as a stream and only as far as the pointer.
      */
-    public static String textAt(String pointer, byte[] body) {
-        try (JsonParser json =
+    public static String textAt(String pointer, byte[] json) {
+        try (JsonParser parser =
                 new FilteringParserDelegate(
-                        JSON.createParser(body),
+                        JSON.createParser(json),
                         new JsonPointerBasedFilter(pointer),
                         TokenFilter.Inclusion.ONLY_INCLUDE_ALL,
                         false)) {
-            return json.nextToken() == JsonToken.VALUE_STRING ? json.getText() : null;
+            return parser.nextToken() == JsonToken.VALUE_STRING ? parser.getText() : null;
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/waytrestle/front/webhook/Signatures.java
+++ b/src/main/java/waytrestle/front/webhook/Signatures.java
@@ -15,34 +15,44 @@
 import waytrestle.config.SecretForm;
 
 /**
- * Signatures of the Standard Webhooks specification: over {@code id.timestamp.body}, {@code v1} by
- * HMAC-SHA256, {@code v1a} by Ed25519. Any signature of the header may match any secret of the
- * endpoint, so that secrets can be changed without a gap. Comparison takes the same time wherever
- * two signatures differ.
+ * Verifies signatures of the Standard Webhooks specification against the secrets of an endpoint. A
+ * signature covers {@code id.timestamp.body}; {@code v1} signatures use HMAC-SHA256, {@code v1a}
+ * signatures use Ed25519. A message is accepted if any signature of its header matches any secret
+ * of the endpoint, so that secrets can be rotated without rejecting messages. HMAC signatures are
+ * compared in constant time.
+ *
+ * <p>Immutable.
  */
 public final class Signatures {
-    private static final byte[] ED25519_DER = {
+    /** DER encoding of an Ed25519 public key up to the 32 bytes of the key itself. */
+    private static final byte[] ED25519_DER_PREFIX = {
         0x30, 0x2a, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x03, 0x21, 0x00
     };
-    private static final int MOST =
-            16; // signatures looked at in one header: each costs a computation
 
-    private final List<SecretKeySpec> secrets = new ArrayList<>();
-    private final List<PublicKey> keys = new ArrayList<>();
+    /** Limit of the signatures verified of one header, since each costs CPU time. */
+    private static final int MAX_SIGNATURES = 16;
 
-    /** Secrets as written, {@code whsec_} or {@code whpk_}. */
-    public Signatures(List<String> written) {
-        for (String secret : written) {
+    private final List<SecretKeySpec> hmacSecrets = new ArrayList<>();
+    private final List<PublicKey> ed25519Keys = new ArrayList<>();
+
+    /**
+     * Creates a verifier.
+     *
+     * @param encodedSecrets the endpoint's secrets in their written form: HMAC secrets prefixed
+     *     with {@code whsec_}, Ed25519 public keys with {@code whpk_}
+     */
+    public Signatures(List<String> encodedSecrets) {
+        for (String secret : encodedSecrets) {
             byte[] key = SecretForm.key(secret);
             if (secret.startsWith(SecretForm.HMAC)) {
-                secrets.add(new SecretKeySpec(key, "HmacSHA256"));
+                hmacSecrets.add(new SecretKeySpec(key, "HmacSHA256"));
                 continue;
             }
-            byte[] der = new byte[ED25519_DER.length + key.length];
-            System.arraycopy(ED25519_DER, 0, der, 0, ED25519_DER.length);
-            System.arraycopy(key, 0, der, ED25519_DER.length, key.length);
+            byte[] der = new byte[ED25519_DER_PREFIX.length + key.length];
+            System.arraycopy(ED25519_DER_PREFIX, 0, der, 0, ED25519_DER_PREFIX.length);
+            System.arraycopy(key, 0, der, ED25519_DER_PREFIX.length, key.length);
             try {
-                keys.add(
+                ed25519Keys.add(
                         KeyFactory.getInstance("Ed25519")
                                 .generatePublic(new X509EncodedKeySpec(der)));
             } catch (GeneralSecurityException e) {
@@ -51,73 +61,77 @@
         }
     }
 
-    /** Whether one of the header's signatures is right for these bytes. */
+    /**
+     * Returns whether a signature in the header is valid for the id, timestamp and body.
+     *
+     * @param header signatures separated by spaces, each a version, a comma and base64
+     */
     public boolean verify(String id, String timestamp, byte[] body, String header) {
         byte[] prefix = (id + "." + timestamp + ".").getBytes(StandardCharsets.UTF_8);
-        String[] given = header.trim().split(" +");
-        boolean right = false;
-        for (int i = 0; i < given.length && i < MOST; i++) {
-            int comma = given[i].indexOf(',');
+        String[] signatures = header.trim().split(" +");
+        boolean matches = false;
+        for (int i = 0; i < signatures.length && i < MAX_SIGNATURES; i++) {
+            int comma = signatures[i].indexOf(',');
             if (comma < 0) {
                 continue;
             }
             byte[] signature;
             try {
-                signature = Base64.getDecoder().decode(given[i].substring(comma + 1));
+                signature = Base64.getDecoder().decode(signatures[i].substring(comma + 1));
             } catch (IllegalArgumentException e) {
                 continue;
             }
-            switch (given[i].substring(0, comma)) {
-                case "v1" -> right |= hmac(prefix, body, signature);
-                case "v1a" -> right |= ed25519(prefix, body, signature);
-                default -> {} // a version of later, skipped as the specification asks
+            switch (signatures[i].substring(0, comma)) {
+                case "v1" -> matches |= matchesHmac(prefix, body, signature);
+                case "v1a" -> matches |= matchesEd25519(prefix, body, signature);
+                default -> {} // the specification requires unknown versions to be skipped
             }
         }
-        return right;
+        return matches;
     }
 
-    private boolean hmac(byte[] prefix, byte[] body, byte[] signature) {
-        boolean right = false;
-        for (SecretKeySpec secret : secrets) {
-            right |= MessageDigest.isEqual(sign(secret, prefix, body), signature);
+    private boolean matchesHmac(byte[] prefix, byte[] body, byte[] signature) {
+        boolean matches = false;
+        for (SecretKeySpec secret : hmacSecrets) {
+            matches |= MessageDigest.isEqual(hmacOf(secret, prefix, body), signature);
         }
-        return right;
+        return matches;
     }
 
-    private boolean ed25519(byte[] prefix, byte[] body, byte[] signature) {
-        boolean right = false;
-        for (PublicKey key : keys) {
+    private boolean matchesEd25519(byte[] prefix, byte[] body, byte[] signature) {
+        boolean matches = false;
+        for (PublicKey key : ed25519Keys) {
             try {
                 Signature verifier = Signature.getInstance("Ed25519");
                 verifier.initVerify(key);
                 verifier.update(prefix);
                 verifier.update(body);
-                right |= verifier.verify(signature);
+                matches |= verifier.verify(signature);
             } catch (GeneralSecurityException e) {
-                right |= false; // of the wrong length or form: not right
+                matches |= false; // a signature of the wrong length or format is invalid
             }
         }
-        return right;
+        return matches;
     }
 
-    private static byte[] sign(SecretKeySpec secret, byte[] prefix, byte[] body) {
+    private static byte[] hmacOf(SecretKeySpec secret, byte[] prefix, byte[] body) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(secret);
             mac.update(prefix);
             return mac.doFinal(body);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this Java lacks HmacSHA256", e);
+            throw new IllegalStateException("the Java runtime does not provide HmacSHA256", e);
         }
     }
 
-    /** A {@code v1} signature as a client writes it. */
+    /** Returns the {@code v1} signature that a client sends, made with a {@code whsec_} secret. */
     public static String sign(String secret, String id, String timestamp, byte[] body) {
         byte[] prefix = (id + "." + timestamp + ".").getBytes(StandardCharsets.UTF_8);
         return "v1,"
                 + Base64.getEncoder()
                         .encodeToString(
-                                sign(
+                                hmacOf(
                                         new SecretKeySpec(SecretForm.key(secret), "HmacSHA256"),
                                         prefix,
                                         body));
--- a/src/main/java/waytrestle/front/webhook/WebhookFrontEnd.java
+++ b/src/main/java/waytrestle/front/webhook/WebhookFrontEnd.java
@@ -17,213 +17,249 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * The front for signed webhooks: checks that a message is signed as the Standard Webhooks
- * specification has it, reads the function's name from it and brings it to the core; the function's
- * answer goes back in the response.
+ * The front end for signed webhooks: verifies a message's signature by the Standard Webhooks
+ * specification, determines the function by the endpoint's settings or by the payload, and hands
+ * the request to the request handler. The function's response becomes the response to the message.
+ * The {@code webhook-id} is the idempotency key of the request.
+ *
+ * <p>Names ending in Micros and Seconds are in microseconds and seconds. Not thread-safe: used by
+ * the event loop of its HTTP server.
  */
 public final class WebhookFrontEnd implements FrontEnd {
-    private static final Pattern ID = Pattern.compile("[!-~]{1,256}");
-    private static final Pattern SECONDS = Pattern.compile("\\d{1,12}");
+    private static final Pattern WEBHOOK_ID = Pattern.compile("[!-~]{1,256}");
+    private static final Pattern TIMESTAMP_SECONDS = Pattern.compile("\\d{1,12}");
 
-    private record Door(Endpoint endpoint, Signatures signatures, RequestClass kind) {}
+    /** An endpoint, the verifier of its secrets, and its request class. */
+    private record EndpointContext(
+            Endpoint endpoint, Signatures signatures, RequestClass requestClass) {}
 
-    private final Map<String, Door> doors = new HashMap<>();
-    private final long toleranceSeconds, transit;
-    private final RequestHandler intake;
-    private final Predicate<String> known;
-    private final Map<String, Long> turnedAway = new HashMap<>();
+    private final Map<String, EndpointContext> contextsByPath = new HashMap<>();
+    private final long toleranceSeconds, transitMicros;
+    private final RequestHandler requestHandler;
+    private final Predicate<String> isKnownFunction;
+    private final Map<String, Long> rejectedMessages = new HashMap<>();
 
+    /**
+     * Creates a front end.
+     *
+     * @param classes the request classes of the scheduler settings, by index
+     * @param toleranceSeconds largest accepted difference between a message's timestamp and the
+     *     wall clock, in either direction
+     * @param transitMicros time assumed for a message's way from the client
+     * @param isKnownFunction returns whether requests for a function of the given name are accepted
+     */
     public WebhookFrontEnd(
             List<Endpoint> endpoints,
             List<RequestClass> classes,
             long toleranceSeconds,
             long transitMicros,
-            Predicate<String> known,
-            RequestHandler intake) {
-        for (Endpoint e : endpoints) {
-            doors.put(
-                    e.path(),
-                    new Door(e, new Signatures(e.secrets()), classes.get(e.requestClass())));
+            Predicate<String> isKnownFunction,
+            RequestHandler requestHandler) {
+        for (Endpoint endpoint : endpoints) {
+            contextsByPath.put(
+                    endpoint.path(),
+                    new EndpointContext(
+                            endpoint,
+                            new Signatures(endpoint.secrets()),
+                            classes.get(endpoint.requestClass())));
         }
         this.toleranceSeconds = toleranceSeconds;
-        this.transit = transitMicros;
-        this.known = known;
-        this.intake = intake;
+        this.transitMicros = transitMicros;
+        this.isKnownFunction = isKnownFunction;
+        this.requestHandler = requestHandler;
     }
 
     /**
-     * Takes other secrets for the endpoints named by path; calls under way keep what they were
-     * checked by.
+     * Replaces the secrets of the endpoints at the given paths; unknown paths are ignored. Requests
+     * in flight are not verified again.
      */
-    public void replaceSecrets(Map<String, List<String>> byPath) {
-        byPath.forEach(
+    public void replaceSecrets(Map<String, List<String>> secretsByPath) {
+        secretsByPath.forEach(
                 (path, secrets) ->
-                        doors.computeIfPresent(
+                        contextsByPath.computeIfPresent(
                                 path,
-                                (p, d) ->
-                                        new Door(d.endpoint(), new Signatures(secrets), d.kind())));
+                                (ignoredPath, context) ->
+                                        new EndpointContext(
+                                                context.endpoint(),
+                                                new Signatures(secrets),
+                                                context.requestClass())));
     }
 
     @Override
     public boolean handlesPath(String path) {
-        return doors.containsKey(path);
+        return contextsByPath.containsKey(path);
     }
 
     @Override
     public Map<String, Long> rejectedMessagesByReason() {
-        return turnedAway;
+        return rejectedMessages;
     }
 
     @Override
     public int checkHead(HttpMessage head) {
-        return doors.containsKey(head.path()) ? head.method().equals("POST") ? 0 : 405 : 404;
+        return contextsByPath.containsKey(head.path())
+                ? head.method().equals("POST") ? 0 : 405
+                : 404;
     }
 
     @Override
-    public void handle(HttpServer.Exchange e) {
-        HttpMessage m = e.message();
-        Door door = doors.get(m.path());
-        if (door == null) {
-            turnAway(e, 404, "no-endpoint", "there is no endpoint at this path");
+    public void handle(HttpServer.Exchange exchange) {
+        HttpMessage message = exchange.message();
+        EndpointContext context = contextsByPath.get(message.path());
+        if (context == null) {
+            reject(exchange, 404, "no-endpoint", "there is no endpoint at this path");
             return;
         }
-        if (!m.method().equals("POST")) {
-            turnAway(e, 405, "method", "an endpoint takes POST alone", "Allow", "POST");
+        if (!message.method().equals("POST")) {
+            reject(exchange, 405, "method", "an endpoint takes POST alone", "Allow", "POST");
             return;
         }
-        String id = m.header("webhook-id");
-        String timestamp = m.header("webhook-timestamp");
-        String signature = m.joinedHeader("webhook-signature");
+        String id = message.header("webhook-id");
+        String timestamp = message.header("webhook-timestamp");
+        String signature = message.joinedHeader("webhook-signature");
         if (id == null || timestamp == null || signature == null) {
-            turnAway(
-                    e,
+            reject(
+                    exchange,
                     400,
                     "unsigned",
                     "webhook-id, webhook-timestamp and webhook-signature are all needed");
             return;
         }
-        if (!ID.matcher(id).matches() || !SECONDS.matcher(timestamp).matches()) {
-            turnAway(
-                    e,
+        if (!WEBHOOK_ID.matcher(id).matches() || !TIMESTAMP_SECONDS.matcher(timestamp).matches()) {
+            reject(
+                    exchange,
                     400,
                     "unsigned",
                     "webhook-id must be 1 to 256 visible characters, webhook-timestamp seconds");
             return;
         }
-        long signedAt = Long.parseLong(timestamp);
-        if (Math.abs(intake.wallSeconds() - signedAt) > toleranceSeconds) {
-            turnAway(
-                    e,
+        long signedAtSeconds = Long.parseLong(timestamp);
+        if (Math.abs(requestHandler.wallSeconds() - signedAtSeconds) > toleranceSeconds) {
+            reject(
+                    exchange,
                     401,
                     "timestamp",
                     "webhook-timestamp is more than " + toleranceSeconds + " s away");
             return;
         }
-        if (!door.signatures().verify(id, timestamp, m.body(), signature)) {
-            turnAway(e, 401, "signature", "no signature is right for this endpoint's secrets");
+        if (!context.signatures().verify(id, timestamp, message.body(), signature)) {
+            reject(exchange, 401, "signature", "no signature is right for this endpoint's secrets");
             return;
         }
-        String function = door.endpoint().fixedFunction();
+        String function = context.endpoint().fixedFunction();
         if (function.isEmpty()) {
-            function = JsonPointerReader.textAt(door.endpoint().pointer(), m.body());
+            function = JsonPointerReader.textAt(context.endpoint().pointer(), message.body());
         }
         if (!FrontEnds.isFunctionName(function)) {
-            turnAway(
-                    e,
+            reject(
+                    exchange,
                     400,
                     "function",
                     "the payload names no function at "
-                            + door.endpoint().pointer()
+                            + context.endpoint().pointer()
                             + ": 1 to 128 letters, figures, dots, dashes or underscores");
             return;
         }
-        if (!known.test(function)) {
-            turnAway(
-                    e,
+        if (!isKnownFunction.test(function)) {
+            reject(
+                    exchange,
                     404,
                     "unknown-function",
                     "no function of this name is configured: " + function);
             return;
         }
-        IdempotencyStore.KeyedRequest arrival =
+        IdempotencyStore.KeyedRequest keyedRequest =
                 new IdempotencyStore.KeyedRequest(
-                        door.endpoint().path() + " " + id,
-                        door.kind().idempotency(),
-                        door.kind().deduplicationWindowMicros(),
-                        signedAt,
-                        FrontEnds.payloadDigest(m.content()));
-        String type = m.header("content-type");
-        RequestHandler.PendingResponse ticket =
-                intake.accept(
+                        context.endpoint().path() + " " + id,
+                        context.requestClass().idempotency(),
+                        context.requestClass().deduplicationWindowMicros(),
+                        signedAtSeconds,
+                        FrontEnds.payloadDigest(message.content()));
+        String contentType = message.header("content-type");
+        RequestHandler.PendingResponse pendingResponse =
+                requestHandler.accept(
                         new RequestHandler.IncomingRequest(
-                                door.endpoint().requestClass(),
-                                door.endpoint().tenant(),
+                                context.endpoint().requestClass(),
+                                context.endpoint().tenant(),
                                 function,
-                                arrival,
-                                arrival.key().hashCode() | 1L << 40,
-                                FrontEnds.timeLeftMicros(e, door.kind(), 0, transit),
-                                type == null ? "application/json" : type,
-                                m.content(),
-                                -1),
-                        end -> answer(e, end));
-        if (e.isOpen()) {
-            e.onClientDisconnect(ticket::clientDisconnected);
+                                keyedRequest,
+                                // Bit 40 keeps the retry fingerprint from being 0, which means
+                                // none.
+                                keyedRequest.key().hashCode() | 1L << 40,
+                                FrontEnds.timeLeftMicros(
+                                        exchange, context.requestClass(), 0, transitMicros),
+                                contentType == null ? "application/json" : contentType,
+                                message.content(),
+                                -1), // not an inference request
+                        outcome -> writeOutcome(exchange, outcome));
+        if (exchange.isOpen()) {
+            exchange.onClientDisconnect(pendingResponse::clientDisconnected);
         }
     }
 
-    private void turnAway(
-            HttpServer.Exchange e, int status, String kind, String detail, String... headers) {
-        turnedAway.merge(kind, 1L, Long::sum);
-        e.answer(status, Problem.TYPE, Problem.of(status, kind, detail, true).bytes(), headers);
+    /**
+     * Counts a message as rejected and responds with a problem document. The message has not become
+     * a request, so a retry is harmless.
+     */
+    private void reject(
+            HttpServer.Exchange exchange,
+            int status,
+            String reason,
+            String detail,
+            String... headers) {
+        rejectedMessages.merge(reason, 1L, Long::sum);
+        exchange.answer(
+                status, Problem.TYPE, Problem.of(status, reason, detail, true).bytes(), headers);
     }
 
-    private static void answer(HttpServer.Exchange e, RequestOutcome end) {
-        if (!e.isOpen()) {
+    private static void writeOutcome(HttpServer.Exchange exchange, RequestOutcome outcome) {
+        if (!exchange.isOpen()) {
             return;
         }
-        if (end instanceof RequestOutcome.Served served) {
-            e.answer(200, served.contentType(), served.body());
+        if (outcome instanceof RequestOutcome.Served served) {
+            exchange.answer(200, served.contentType(), served.body());
             return;
         }
-        if (end instanceof RequestOutcome.FunctionError own && own.body().size() > 0) {
-            e.answer(
-                    own.status(),
-                    own.contentType(),
-                    own.body(),
+        if (outcome instanceof RequestOutcome.FunctionError functionError
+                && functionError.body().size() > 0) {
+            exchange.answer(
+                    functionError.status(),
+                    functionError.contentType(),
+                    functionError.body(),
                     "Waytrestle-Harmless",
-                    Boolean.toString(!own.mayHaveRun()));
+                    Boolean.toString(!functionError.mayHaveRun()));
             return;
         }
-        int status = FrontEnds.httpStatus(end);
-        long millis = FrontEnds.retryAfterMillis(end);
-        RequestOutcome.AttemptSummary tried = FrontEnds.attemptSummary(end);
+        int status = FrontEnds.httpStatus(outcome);
+        long retryAfterMillis = FrontEnds.retryAfterMillis(outcome);
+        RequestOutcome.AttemptSummary attemptSummary = FrontEnds.attemptSummary(outcome);
         Problem problem =
-                end instanceof RequestOutcome.FunctionError
+                outcome instanceof RequestOutcome.FunctionError
                         ? new Problem(
                                 status,
                                 "function",
                                 "the function answered with this status and nothing more",
-                                FrontEnds.isRetryHarmless(end),
+                                FrontEnds.isRetryHarmless(outcome),
                                 0,
-                                tried.forwardedAttempts(),
-                                tried.lastResponseText())
+                                attemptSummary.forwardedAttempts(),
+                                attemptSummary.lastResponseText())
                         : new Problem(
                                 status,
-                                FrontEnds.reasonCode(end),
-                                FrontEnds.reason(end).description(),
-                                FrontEnds.isRetryHarmless(end),
-                                millis,
-                                tried.forwardedAttempts(),
-                                tried.lastResponseText());
-        if (millis > 0) {
-            e.answer(
+                                FrontEnds.reasonCode(outcome),
+                                FrontEnds.reason(outcome).description(),
+                                FrontEnds.isRetryHarmless(outcome),
+                                retryAfterMillis,
+                                attemptSummary.forwardedAttempts(),
+                                attemptSummary.lastResponseText());
+        if (retryAfterMillis > 0) {
+            exchange.answer(
                     status,
                     Problem.TYPE,
                     problem.bytes(),
                     "Retry-After",
-                    Long.toString((millis + 999) / 1_000));
+                    Long.toString((retryAfterMillis + 999) / 1_000));
         } else {
-            e.answer(status, Problem.TYPE, problem.bytes());
+            exchange.answer(status, Problem.TYPE, problem.bytes());
         }
     }
 }
--- a/src/main/java/waytrestle/json/JsonObject.java
+++ b/src/main/java/waytrestle/json/JsonObject.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * An immutable JSON object with typed look-ups by member name.
+ * An immutable JSON object with typed getters by member name.
  *
- * <p>A member that is absent or {@code null} reads as the empty value of its type: 0, false, an
- * empty text, list or object. The {@code required} look-ups refuse it. A member of another type is
- * a {@link MalformedJsonException} that names the member, thrown by the look-up and not before.
+ * <p>For a member that is absent or {@code null}, a getter returns the empty value of its type: 0,
+ * false, or an empty string, list or object. The {@code required} getters throw a {@link
+ * MalformedJsonException} instead. For a member of another type every getter throws a {@link
+ * MalformedJsonException} that names the member; parsing does not check types.
  */
 public final class JsonObject {
     private static final JsonObject EMPTY = new JsonObject(Map.of());
@@ -19,31 +20,31 @@
     private final Map<String, Object> members;
 
     /**
-     * Wraps parsed members.
+     * Creates an object of parsed members.
      *
-     * @param members each a {@link JsonObject}, {@link List}, {@link String}, {@link Long}, {@link
-     *     Double}, {@link Boolean} or null
+     * @param members the member values by name; each value is a {@link JsonObject}, {@link List},
+     *     {@link String}, {@link Long}, {@link Double}, {@link Boolean} or null
      */
     JsonObject(Map<String, Object> members) {
         this.members = members;
     }
 
     /**
-     * Reads one object with nothing after it.
+     * Parses a text that consists of one JSON object.
      *
-     * @param description names the text in the message of an error
-     * @throws MalformedJsonException if the text is anything else
+     * @param description the text's name in exception messages
+     * @throws MalformedJsonException if the text is not exactly one JSON object
      */
     public static JsonObject parse(String text, String description) {
         return JsonObjectParser.parse(text, description);
     }
 
-    /** Whether the member is present, be it {@code null}. */
+    /** Returns whether the member is present; a {@code null} member is. */
     public boolean has(String name) {
         return members.containsKey(name);
     }
 
-    /** A number; 0 if absent. */
+    /** Returns a number; 0 if absent or {@code null}. */
     public double number(String name) {
         Object value = members.get(name);
         if (value == null) {
@@ -55,12 +56,12 @@
         throw new MalformedJsonException(name + " must be a number");
     }
 
-    /** A number; the given default if absent, but 0 if {@code null}. */
+    /** Returns a number; the given default if absent, but 0 if {@code null}. */
     public double numberOrDefault(String name, double defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** A whole number, rounded if it has a fraction; 0 if absent. */
+    /** Returns a number rounded to a whole number; 0 if absent or {@code null}. */
     public long wholeNumber(String name) {
         Object value = members.get(name);
         if (value == null) {
@@ -75,12 +76,12 @@
         throw new MalformedJsonException(name + " must be a whole number");
     }
 
-    /** A whole number of at most 32 bits; higher bits are dropped. 0 if absent. */
+    /** Returns the low 32 bits of a {@link #wholeNumber}; 0 if absent or {@code null}. */
     public int wholeInt(String name) {
         return (int) wholeNumber(name);
     }
 
-    /** A whole number that must be present. */
+    /** Returns a number rounded to a whole number; throws if absent or {@code null}. */
     public long requiredWholeNumber(String name) {
         if (members.get(name) == null) {
             throw new MalformedJsonException(name + " is missing");
@@ -88,12 +89,12 @@
         return wholeNumber(name);
     }
 
-    /** A whole number of at most 32 bits that must be present; higher bits are dropped. */
+    /** Returns the low 32 bits of a {@link #requiredWholeNumber}. */
     public int requiredWholeInt(String name) {
         return (int) requiredWholeNumber(name);
     }
 
-    /** True or false; false if absent. */
+    /** Returns a boolean; false if absent or {@code null}. */
     public boolean flag(String name) {
         Object value = members.get(name);
         if (value == null) {
@@ -105,7 +106,7 @@
         throw new MalformedJsonException(name + " must be true or false");
     }
 
-    /** A text; empty if absent. */
+    /** Returns a string; empty if absent or {@code null}. */
     public String text(String name) {
         Object value = members.get(name);
         if (value == null) {
@@ -117,7 +118,7 @@
         throw new MalformedJsonException(name + " must be text");
     }
 
-    /** A text that must be present and not empty. */
+    /** Returns a string; throws if absent, {@code null} or empty. */
     public String requiredText(String name) {
         String text = text(name);
         if (text.isEmpty()) {
@@ -126,27 +127,32 @@
         return text;
     }
 
-    /** An object; an empty one if absent. */
+    /** Returns an object; an empty one if absent or {@code null}. */
     public JsonObject object(String name) {
         Object value = members.get(name);
         return value == null ? EMPTY : asObject(value, name);
     }
 
     /**
-     * An array of objects; empty if absent. An element that is no object is refused when it is
-     * reached, so that errors come in the order of the input.
+     * Returns an array of objects; empty if absent or {@code null}. The list throws a {@link
+     * MalformedJsonException} when an element that is not an object is read from it, so that
+     * callers that read in order report errors in the order of the input.
      */
     public List<JsonObject> objects(String name) {
         return objects(name, name);
     }
 
-    /** As {@link #objects(String)}, with the name that an error gives to an element. */
+    /**
+     * Returns an array of objects as {@link #objects(String)} does.
+     *
+     * @param elementName an element's name in exception messages
+     */
     public List<JsonObject> objects(String name, String elementName) {
         List<?> elements = array(name);
         return elements.isEmpty() ? List.of() : new ObjectList(elements, elementName);
     }
 
-    /** An array of texts; empty if absent. */
+    /** Returns an array of strings; empty if absent or {@code null}. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
         for (Object element : array(name)) {
@@ -158,7 +164,10 @@
         return texts;
     }
 
-    /** An array of numbers, with 0 for each element that is none; empty if absent. */
+    /**
+     * Returns an array of numbers, with 0 in place of each element that is not a number; empty if
+     * absent or {@code null}.
+     */
     public List<Double> numbers(String name) {
         List<Double> numbers = new ArrayList<>();
         for (Object element : array(name)) {
@@ -167,7 +176,7 @@
         return numbers;
     }
 
-    /** All members that are numbers, by name; the others are left out. */
+    /** Returns all members that are numbers, by name. */
     public Map<String, Double> numericMembers() {
         if (members.isEmpty()) {
             return Map.of();
@@ -199,7 +208,7 @@
         throw new MalformedJsonException(name + " must be an object");
     }
 
-    /** A view of an array that checks each element as it is read. */
+    /** A view of an array that checks the type of an element when the element is read. */
     private static final class ObjectList extends AbstractList<JsonObject> {
         private final List<?> elements;
         private final String elementName;
--- a/src/main/java/waytrestle/json/JsonObjectParser.java
+++ b/src/main/java/waytrestle/json/JsonObjectParser.java
@@ -8,10 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds a {@link JsonObject} from the tokens of a text. */
+/** Parses texts to {@link JsonObject}s. Stateless. */
 final class JsonObjectParser {
     private JsonObjectParser() {}
 
+    /** Implements {@link JsonObject#parse}. */
     static JsonObject parse(String text, String description) {
         try (JsonParser parser = JsonStreams.FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -27,6 +28,7 @@
         }
     }
 
+    /** Returns the first line of an exception's message; the parser adds the location in others. */
     private static String firstLine(IOException cause) {
         return String.valueOf(cause.getMessage()).split("\n")[0];
     }
--- a/src/main/java/waytrestle/json/JsonStreams.java
+++ b/src/main/java/waytrestle/json/JsonStreams.java
@@ -7,7 +7,10 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** The one JSON factory, which reads and writes documents and texts of any length. */
+/**
+ * Provides the package's JSON factory, which sets no limit on the length of documents and strings,
+ * and generators for streams of documents. Thread-safe; the generators are not.
+ */
 public final class JsonStreams {
     static final JsonFactory FACTORY =
             JsonFactory.builder()
@@ -22,8 +25,8 @@
     private JsonStreams() {}
 
     /**
-     * A generator that writes one document after the other, with nothing between them, and leaves
-     * the stream open when it is closed.
+     * Returns a generator that writes any number of documents with no separator between them.
+     * Closing the generator leaves the stream open.
      */
     public static JsonGenerator generator(OutputStream out) throws IOException {
         JsonGenerator json = FACTORY.createGenerator(out);
--- a/src/main/java/waytrestle/json/MalformedJsonException.java
+++ b/src/main/java/waytrestle/json/MalformedJsonException.java
@@ -1,13 +1,13 @@
 package waytrestle.json;
 
 /**
- * The input is not JSON, or a member of it is missing, of the wrong type or out of its range. The
- * message is one line that names the member.
+ * A text is not JSON, or a member of its JSON object is missing, of the wrong type or out of its
+ * range. The message is one line that names the text or the member.
  */
 public class MalformedJsonException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the error with its one line of explanation. */
+    /** Creates an exception with a message of one line. */
     public MalformedJsonException(String message) {
         super(message);
     }
--- a/src/main/java/waytrestle/json/package-info.java
+++ b/src/main/java/waytrestle/json/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Reads JSON objects of any length, with typed look-ups whose errors name the member at fault.
+ * Parses JSON objects of any length to {@link waytrestle.json.JsonObject}, whose typed getters name
+ * the invalid member in their exceptions, and writes streams of JSON documents.
  *
- * <p>Nothing here is bound to a thread: a {@link waytrestle.json.JsonObject} does not change once
- * it is read.
+ * <p>{@link waytrestle.json.JsonObject} is immutable and can be used by any thread.
  */
 package waytrestle.json;
