--- a/src/test/java/waytrestle/front/kserve/InferRequestValidatorTest.java
+++ b/src/test/java/waytrestle/front/kserve/InferRequestValidatorTest.java
@@ -15,31 +15,34 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import waytrestle.Bytes;
 
-/** Infer requests: every datatype, both forms, and faults told by their field. */
+/**
+ * Tests the validation of infer requests: every datatype as JSON and as binary data, and the field
+ * and reason of each rejection. JSON in the tests is written with single quotes.
+ */
 class InferRequestValidatorTest {
-    private static InferRequestValidator.ValidatedRequest check(String json, byte... binary)
+    private static InferRequestValidator.ValidatedRequest validate(String json, byte... binary)
             throws InferRequestValidator.InvalidInferRequestException {
-        byte[] head = json.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-        byte[] all = Arrays.copyOf(head, head.length + binary.length);
-        System.arraycopy(binary, 0, all, head.length, binary.length);
-        return InferRequestValidator.validate(Bytes.of(all), head.length);
+        byte[] jsonPart = json.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+        byte[] body = Arrays.copyOf(jsonPart, jsonPart.length + binary.length);
+        System.arraycopy(binary, 0, body, jsonPart.length, binary.length);
+        return InferRequestValidator.validate(Bytes.of(body), jsonPart.length);
     }
 
-    private static String fault(String json, byte... binary) {
+    private static String rejectionMessage(String json, byte... binary) {
         return assertThrows(
                         InferRequestValidator.InvalidInferRequestException.class,
-                        () -> check(json, binary),
+                        () -> validate(json, binary),
                         json)
                 .getMessage();
     }
 
-    private static String input(String type, String shape, String rest) {
+    private static String requestWithInput(String datatype, String shape, String otherFields) {
         return "{'inputs':[{'name':'x','datatype':'"
-                + type
+                + datatype
                 + "','shape':"
                 + shape
                 + ","
-                + rest
+                + otherFields
                 + "}]}";
     }
 
@@ -63,38 +66,47 @@
                 "FP32;[0];[]",
                 "INT8;[];[7]"
             })
-    void everyDatatypeIsTakenAsJson(String type, String shape, String data) throws Exception {
-        check(input(type, shape, "'data':" + data));
-        check(
+    void jsonDataOfEveryDatatypeIsValidInAnyFieldOrder(String datatype, String shape, String data)
+            throws Exception {
+        validate(requestWithInput(datatype, shape, "'data':" + data));
+        validate(
                 "{'inputs':[{'data':"
                         + data
                         + ",'shape':"
                         + shape
                         + ",'name':'x','datatype':'"
-                        + type
+                        + datatype
                         + "'}]}");
     }
 
     @ParameterizedTest
     @CsvSource({"BOOL,1", "UINT8,1", "INT16,2", "FP16,2", "BF16,2", "FP32,4", "INT64,8", "FP64,8"})
-    void everyDatatypeIsTakenAsBinary(String type, int size) throws Exception {
-        check(
-                input(type, "[3]", "'parameters':{'binary_data_size':" + 3 * size + "}"),
-                new byte[3 * size]);
+    void binaryDataIsValidOnlyIfItsSizeMatchesTheShape(String datatype, int elementBytes)
+            throws Exception {
+        validate(
+                requestWithInput(
+                        datatype,
+                        "[3]",
+                        "'parameters':{'binary_data_size':" + 3 * elementBytes + "}"),
+                new byte[3 * elementBytes]);
         assertTrue(
-                fault(
-                                input(
-                                        type,
+                rejectionMessage(
+                                requestWithInput(
+                                        datatype,
                                         "[3]",
-                                        "'parameters':{'binary_data_size':" + (3 * size + 1) + "}"),
-                                new byte[3 * size + 1])
-                        .startsWith("inputs[0].parameters.binary_data_size: is " + (3 * size + 1)));
+                                        "'parameters':{'binary_data_size':"
+                                                + (3 * elementBytes + 1)
+                                                + "}"),
+                                new byte[3 * elementBytes + 1])
+                        .startsWith(
+                                "inputs[0].parameters.binary_data_size: is "
+                                        + (3 * elementBytes + 1)));
     }
 
     @Test
-    void jsonAndBinaryInputsMixAndParametersAreRead() throws Exception {
-        InferRequestValidator.ValidatedRequest c =
-                check(
+    void requestWithJsonAndBinaryInputsIsValidAndItsIdAndTimeoutAreRead() throws Exception {
+        InferRequestValidator.ValidatedRequest validated =
+                validate(
                         "{'id':'r7','parameters':{'timeout':250000,'x':{'y':[1]}},'inputs':["
                             + "{'name':'a','datatype':'BYTES','shape':[2],'parameters':{'binary_data_size':9}},"
                             + "{'name':'b','datatype':'INT8','shape':[1],'data':[1]},"
@@ -111,71 +123,79 @@
                         (byte) 0,
                         (byte) 5,
                         (byte) 6);
-        assertEquals("r7", c.id());
-        assertEquals(250_000, c.timeoutMicros());
+        assertEquals("r7", validated.id());
+        assertEquals(250_000, validated.timeoutMicros());
     }
 
     @Test
-    void faultsNameTheirField() {
-        assertEquals("inputs: at least one is needed", fault("{'inputs':[]}"));
-        assertEquals("inputs: at least one is needed", fault("{}"));
-        assertEquals("must be a JSON object", fault("[]"));
-        assertTrue(fault("{'inputs':").startsWith("not JSON"));
-        assertTrue(fault(input("INT8", "[1]", "'data':[1]") + " x").startsWith("not JSON"));
-        assertEquals("id: must be text", fault("{'id':7}"));
+    void invalidRequestIsRejectedWithItsFieldAndReason() {
+        assertEquals("inputs: at least one is needed", rejectionMessage("{'inputs':[]}"));
+        assertEquals("inputs: at least one is needed", rejectionMessage("{}"));
+        assertEquals("must be a JSON object", rejectionMessage("[]"));
+        assertTrue(rejectionMessage("{'inputs':").startsWith("not JSON"));
+        assertTrue(
+                rejectionMessage(requestWithInput("INT8", "[1]", "'data':[1]") + " x")
+                        .startsWith("not JSON"));
+        assertEquals("id: must be text", rejectionMessage("{'id':7}"));
         assertEquals(
-                "inputs[0].datatype: is unknown: INT9", fault(input("INT9", "[1]", "'data':[1]")));
+                "inputs[0].datatype: is unknown: INT9",
+                rejectionMessage(requestWithInput("INT9", "[1]", "'data':[1]")));
         assertEquals(
                 "inputs[0].data: holds 1 elements where the shape has 6",
-                fault(input("INT8", "[2,3]", "'data':[1]")));
+                rejectionMessage(requestWithInput("INT8", "[2,3]", "'data':[1]")));
         assertEquals(
                 "inputs[0].shape: the number of elements overflows",
-                fault(input("INT8", "[4294967296,4294967296]", "'data':[1]")));
+                rejectionMessage(
+                        requestWithInput("INT8", "[4294967296,4294967296]", "'data':[1]")));
         assertTrue(
-                fault(input("INT8", "[-1]", "'data':[1]"))
+                rejectionMessage(requestWithInput("INT8", "[-1]", "'data':[1]"))
                         .startsWith("inputs[0].shape: a dimension must be"));
         assertTrue(
-                fault(input("INT8", "[99999999999999999999]", "'data':[1]"))
+                rejectionMessage(requestWithInput("INT8", "[99999999999999999999]", "'data':[1]"))
                         .startsWith("inputs[0].shape"));
         assertEquals(
                 "inputs[0].shape: must be whole numbers",
-                fault(input("INT8", "[1.5]", "'data':[1]")));
+                rejectionMessage(requestWithInput("INT8", "[1.5]", "'data':[1]")));
         assertEquals(
                 "inputs[0].data: holds a number beyond UINT8",
-                fault(input("UINT8", "[1]", "'data':[256]")));
+                rejectionMessage(requestWithInput("UINT8", "[1]", "'data':[256]")));
         assertEquals(
                 "inputs[0].data: holds a number beyond UINT64",
-                fault(input("UINT64", "[1]", "'data':[-1]")));
+                rejectionMessage(requestWithInput("UINT64", "[1]", "'data':[-1]")));
         assertEquals(
                 "inputs[0].data: holds elements that are not BOOL",
-                fault(input("BOOL", "[1]", "'data':[1]")));
+                rejectionMessage(requestWithInput("BOOL", "[1]", "'data':[1]")));
         assertEquals(
                 "inputs[0].data: holds elements that are not INT8",
-                fault(input("INT8", "[1]", "'data':[1.5]")));
+                rejectionMessage(requestWithInput("INT8", "[1]", "'data':[1.5]")));
         assertEquals(
                 "inputs[0].data: holds what is no tensor element",
-                fault(input("INT8", "[1]", "'data':[null]")));
+                rejectionMessage(requestWithInput("INT8", "[1]", "'data':[null]")));
         assertEquals(
                 "inputs[0].data: is nested over 32 deep",
-                fault(input("INT8", "[1]", "'data':" + "[".repeat(40))));
+                rejectionMessage(requestWithInput("INT8", "[1]", "'data':" + "[".repeat(40))));
         assertEquals(
                 "inputs[0]: needs either data or parameters.binary_data_size",
-                fault(
-                        input("INT8", "[1]", "'data':[1],'parameters':{'binary_data_size':1}"),
+                rejectionMessage(
+                        requestWithInput(
+                                "INT8", "[1]", "'data':[1],'parameters':{'binary_data_size':1}"),
                         (byte) 1));
         assertEquals(
                 "inputs[0].name: is missing",
-                fault("{'inputs':[{'datatype':'INT8','shape':[1],'data':[1]}]}"));
+                rejectionMessage("{'inputs':[{'datatype':'INT8','shape':[1],'data':[1]}]}"));
         assertEquals(
                 "inputs[0].parameters.binary_data_size: tells 9 bytes where 1 follow",
-                fault(input("INT8", "[9]", "'parameters':{'binary_data_size':9}"), (byte) 1));
+                rejectionMessage(
+                        requestWithInput("INT8", "[9]", "'parameters':{'binary_data_size':9}"),
+                        (byte) 1));
         assertEquals(
                 "2 bytes follow that belong to no input",
-                fault(input("INT8", "[1]", "'data':[1]"), (byte) 1, (byte) 2));
+                rejectionMessage(
+                        requestWithInput("INT8", "[1]", "'data':[1]"), (byte) 1, (byte) 2));
         assertEquals(
                 "inputs[0].parameters.binary_data_size: element 0 is longer than what is left",
-                fault(
-                        input("BYTES", "[1]", "'parameters':{'binary_data_size':5}"),
+                rejectionMessage(
+                        requestWithInput("BYTES", "[1]", "'parameters':{'binary_data_size':5}"),
                         (byte) 9,
                         (byte) 0,
                         (byte) 0,
@@ -183,15 +203,15 @@
                         (byte) 1));
         assertEquals(
                 "inputs[0].parameters.binary_data_size: element 0 is longer than what is left",
-                fault(
-                        input("BYTES", "[1]", "'parameters':{'binary_data_size':4}"),
+                rejectionMessage(
+                        requestWithInput("BYTES", "[1]", "'parameters':{'binary_data_size':4}"),
                         (byte) -1,
                         (byte) -1,
                         (byte) -1,
                         (byte) -1));
         assertTrue(
-                fault(
-                                input(
+                rejectionMessage(
+                                requestWithInput(
                                         "FP64",
                                         "[2305843009213693952]",
                                         "'parameters':{'binary_data_size':8}"),
@@ -199,36 +219,39 @@
                         .contains("where the shape of FP64 needs"));
     }
 
-    /** Whatever bytes come: taken or a fault, never another end, and the same over any segments. */
+    /**
+     * Overwrites up to 3 random bytes of a valid request. Guards against other exceptions than the
+     * one for invalid requests, and against results that depend on where the body is segmented.
+     */
     @Property(tries = 1_500, seed = "7")
-    void anyBytesAreTakenOrAFault(@ForAll long seed) {
+    void corruptedRequestHasTheSameResultInOneAndInTwoSegments(@ForAll long seed) {
         Random random = new Random(seed);
-        byte[] all =
-                input("BYTES", "[2]", "'parameters':{'binary_data_size':10}")
+        byte[] body =
+                requestWithInput("BYTES", "[2]", "'parameters':{'binary_data_size':10}")
                         .replace('\'', '"')
                         .getBytes();
-        int json = all.length;
-        all = Arrays.copyOf(all, json + 10);
-        all[json] = 1;
+        int jsonBytes = body.length;
+        body = Arrays.copyOf(body, jsonBytes + 10);
+        body[jsonBytes] = 1;
         for (int i = random.nextInt(4); i > 0; i--) {
-            all[random.nextInt(all.length)] = (byte) random.nextInt(256);
+            body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
-        String whole = end(Bytes.of(all), json);
-        int cut = 1 + random.nextInt(all.length - 1);
+        String unsegmentedResult = result(Bytes.of(body), jsonBytes);
+        int segmentBoundary = 1 + random.nextInt(body.length - 1);
         assertEquals(
-                whole,
-                end(
+                unsegmentedResult,
+                result(
                         Bytes.of(
                                 List.of(
-                                        Arrays.copyOf(all, cut),
-                                        Arrays.copyOfRange(all, cut, all.length)),
-                                all.length - cut),
-                        json));
+                                        Arrays.copyOf(body, segmentBoundary),
+                                        Arrays.copyOfRange(body, segmentBoundary, body.length)),
+                                body.length - segmentBoundary),
+                        jsonBytes));
     }
 
-    private static String end(Bytes body, int json) {
+    private static String result(Bytes body, int jsonBytes) {
         try {
-            return String.valueOf(InferRequestValidator.validate(body, json));
+            return String.valueOf(InferRequestValidator.validate(body, jsonBytes));
         } catch (InferRequestValidator.InvalidInferRequestException e) {
             return e.getMessage();
         }
--- a/src/test/java/waytrestle/front/kserve/PayloadFuzzTest.java
+++ b/src/test/java/waytrestle/front/kserve/PayloadFuzzTest.java
@@ -6,8 +6,9 @@
 import waytrestle.front.webhook.JsonPointerReader;
 
 /**
- * Fuzzing of both fronts' payload readers; see ParserFuzzTest for how. The first byte says where
- * the JSON ends.
+ * Fuzzes the payload readers of the KServe and the webhook front end; {@code ParserFuzzTest} says
+ * how fuzz tests are run. For infer requests, the first byte of the input is the length of the JSON
+ * part and the remaining bytes are the body.
  */
 class PayloadFuzzTest {
     @FuzzTest(maxDuration = "60s")
@@ -15,13 +16,13 @@
         if (data.length == 0) {
             return;
         }
-        int json = Math.min(data.length - 1, data[0] & 0xFF);
+        int jsonBytes = Math.min(data.length - 1, data[0] & 0xFF);
         byte[] body = Arrays.copyOfRange(data, 1, data.length);
         try {
-            InferRequestValidator.validate(Bytes.of(body), json);
-        } catch (InferRequestValidator.InvalidInferRequestException expected) {
-            if (expected.getMessage().isEmpty()) {
-                throw new AssertionError("a fault without its reason");
+            InferRequestValidator.validate(Bytes.of(body), jsonBytes);
+        } catch (InferRequestValidator.InvalidInferRequestException invalidRequest) {
+            if (invalidRequest.getMessage().isEmpty()) {
+                throw new AssertionError("an invalid request was rejected without a message");
             }
         }
     }
--- a/src/test/java/waytrestle/fuzz/ParserFuzzTest.java
+++ b/src/test/java/waytrestle/fuzz/ParserFuzzTest.java
@@ -12,63 +12,74 @@
 import waytrestle.invoker.LoadMetrics;
 
 /**
- * Coverage-guided fuzzing of what peers send. In an ordinary build each test runs over its corpus
- * beside this class; with JAZZER_FUZZ=1 one test searches for new inputs (docs/measurements.md).
+ * Fuzzes the parsing of HTTP requests of clients and HTTP responses of invokers. In an ordinary
+ * build each test runs over its stored inputs in {@code src/test/resources}; with JAZZER_FUZZ=1 the
+ * one selected test searches for new inputs, guided by coverage (docs/measurements.md).
  */
 class ParserFuzzTest {
     private static final HttpLimits LIMITS = new HttpLimits(256, 16, 1_024, 4_096, 1, 1, 1, 1);
 
-    private static String all(HttpParser parser, byte[] data, int step) {
-        List<String> out = new ArrayList<>();
+    /**
+     * Parses data that arrives in chunks of the given size. Returns a summary of all messages, with
+     * the error last if there is one.
+     */
+    private static String parse(HttpParser parser, byte[] data, int chunkBytes) {
+        List<String> results = new ArrayList<>();
         try {
-            for (int from = 0; from < data.length; from += step) {
-                ByteBuffer in = ByteBuffer.wrap(data, from, Math.min(step, data.length - from));
-                for (HttpMessage m = parser.next(in); m != null; m = parser.next(in)) {
-                    out.add(
-                            m.method()
-                                    + m.status()
-                                    + m.target()
-                                    + m.headerCount()
-                                    + m.content().hashCode());
+            for (int chunkStart = 0; chunkStart < data.length; chunkStart += chunkBytes) {
+                ByteBuffer chunk =
+                        ByteBuffer.wrap(
+                                data, chunkStart, Math.min(chunkBytes, data.length - chunkStart));
+                for (HttpMessage message = parser.next(chunk);
+                        message != null;
+                        message = parser.next(chunk)) {
+                    results.add(
+                            message.method()
+                                    + message.status()
+                                    + message.target()
+                                    + message.headerCount()
+                                    + message.content().hashCode());
                 }
-                if (in.hasRemaining()) {
-                    throw new AssertionError("bytes left without a message");
+                if (chunk.hasRemaining()) {
+                    throw new AssertionError(
+                            "the parser returned no message but left bytes of the chunk unread");
                 }
             }
         } catch (HttpError e) {
-            out.add(e.status() + e.getMessage());
+            results.add(e.status() + e.getMessage());
         }
-        return out.toString();
+        return results.toString();
     }
 
-    private static void same(String a, String b) {
-        if (!a.equals(b)) {
-            throw new AssertionError("split differs: " + a + " and " + b);
+    private static void assertEqualResults(String first, String second) {
+        if (!first.equals(second)) {
+            throw new AssertionError(
+                    "results for two chunk sizes differ: " + first + " and " + second);
         }
     }
 
     @FuzzTest(maxDuration = "60s")
     void requestParsingDoesNotDependOnChunkSize(byte[] data) {
-        String whole = all(HttpParser.requests(LIMITS), data, Math.max(1, data.length));
-        same(whole, all(HttpParser.requests(LIMITS), data, 1));
-        same(whole, all(HttpParser.requests(LIMITS), data, 7));
+        String unsplitResult = parse(HttpParser.requests(LIMITS), data, Math.max(1, data.length));
+        assertEqualResults(unsplitResult, parse(HttpParser.requests(LIMITS), data, 1));
+        assertEqualResults(unsplitResult, parse(HttpParser.requests(LIMITS), data, 7));
     }
 
     @FuzzTest(maxDuration = "60s")
     void responseParsingDoesNotDependOnChunkSizeAndReadersRaiseNoUnexpectedException(byte[] data) {
-        same(
-                all(HttpParser.responses(LIMITS), data, Math.max(1, data.length)),
-                all(HttpParser.responses(LIMITS), data, 1));
+        assertEqualResults(
+                parse(HttpParser.responses(LIMITS), data, Math.max(1, data.length)),
+                parse(HttpParser.responses(LIMITS), data, 1));
         try {
-            HttpMessage m = HttpParser.responses(LIMITS).next(ByteBuffer.wrap(data));
-            if (m != null) {
-                InferProtocol.answer(m, "x");
-                InferProtocol.whole(m);
-                InferProtocol.copies(m, "f");
-                LoadMetrics.read(m.header(LoadMetrics.HEADER));
+            HttpMessage message = HttpParser.responses(LIMITS).next(ByteBuffer.wrap(data));
+            if (message != null) {
+                InferProtocol.answer(message, "x");
+                InferProtocol.whole(message);
+                InferProtocol.copies(message, "f");
+                LoadMetrics.read(message.header(LoadMetrics.HEADER));
             }
         } catch (HttpError expected) {
-            // a breach of the protocol, told as such
+            // the only exception that readers may throw for an invalid response
         }
     }
 }
--- a/src/test/java/waytrestle/json/JsonObjectTest.java
+++ b/src/test/java/waytrestle/json/JsonObjectTest.java
@@ -21,12 +21,12 @@
                     """,
                     "the fixture");
 
-    private static void assertMalformed(String message, Executable lookUp) {
-        assertEquals(message, assertThrows(MalformedJsonException.class, lookUp).getMessage());
+    private static void assertMalformed(String message, Executable getter) {
+        assertEquals(message, assertThrows(MalformedJsonException.class, getter).getMessage());
     }
 
     @Test
-    void presentMembersReadAsTheirType() {
+    void presentMemberIsReturnedAsItsType() {
         assertEquals(2.5, OBJECT.number("fraction"));
         assertEquals(7, OBJECT.number("whole"));
         assertEquals(7, OBJECT.wholeNumber("whole"));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void absentAndNullMembersReadAsEmpty() {
+    void absentOrNullMemberIsReturnedAsEmptyValue() {
         for (String name : List.of("absent", "none")) {
             assertEquals(0, OBJECT.number(name));
             assertEquals(0, OBJECT.wholeNumber(name));
@@ -51,27 +51,27 @@
     }
 
     @Test
-    void onlyAnAbsentNumberTakesItsDefault() {
+    void numberDefaultAppliesToAbsentButNotToNullMember() {
         assertEquals(3, OBJECT.numberOrDefault("absent", 3));
         assertEquals(0, OBJECT.numberOrDefault("none", 3));
         assertEquals(7, OBJECT.numberOrDefault("whole", 3));
     }
 
     @Test
-    void aNullMemberIsPresent() {
+    void nullMemberIsPresentAndMissingMemberIsAbsent() {
         assertTrue(OBJECT.has("none"));
         assertFalse(OBJECT.has("absent"));
     }
 
     @Test
-    void wholeNumbersRoundFractionsAndIntsDropHighBits() {
+    void wholeNumberIsRoundedAndWholeIntKeepsLow32Bits() {
         assertEquals(3, OBJECT.wholeNumber("fraction"));
         assertEquals(1, OBJECT.wholeInt("wide"));
         assertEquals(1, OBJECT.requiredWholeInt("wide"));
     }
 
     @Test
-    void aMemberOfAnotherTypeIsNamedInTheError() {
+    void memberOfAnotherTypeIsRejectedWithItsName() {
         assertMalformed("text must be a number", () -> OBJECT.number("text"));
         assertMalformed("text must be a whole number", () -> OBJECT.wholeNumber("text"));
         assertMalformed("text must be true or false", () -> OBJECT.flag("text"));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aRequiredMemberThatIsAbsentNullOrEmptyIsMissing() {
+    void requiredMemberIsRejectedIfAbsentNullOrEmpty() {
         assertMalformed("absent is missing", () -> OBJECT.requiredWholeNumber("absent"));
         assertMalformed("none is missing", () -> OBJECT.requiredWholeInt("none"));
         assertMalformed("absent is missing", () -> OBJECT.requiredText("absent"));
@@ -90,37 +90,37 @@
     }
 
     @Test
-    void anElementThatIsNoObjectIsRefusedOnlyWhenItIsReached() {
+    void arrayElementThatIsNotAnObjectIsRejectedOnlyWhenRead() {
         Iterator<JsonObject> elements = OBJECT.objects("objects").iterator();
         assertEquals(1, elements.next().wholeNumber("inner"));
         assertMalformed("objects must be an object", elements::next);
-        List<JsonObject> renamed = OBJECT.objects("objects", "outer.objects");
-        assertMalformed("outer.objects must be an object", () -> renamed.get(1));
+        List<JsonObject> elementsNamedOuter = OBJECT.objects("objects", "outer.objects");
+        assertMalformed("outer.objects must be an object", () -> elementsNamedOuter.get(1));
     }
 
     @Test
-    void numericMembersLeaveTheOthersOut() {
+    void numericMembersOmitsMembersOfOtherTypes() {
         assertEquals(Map.of("inner", 1.0), OBJECT.object("object").numericMembers());
         assertEquals(Map.of(), OBJECT.object("absent").numericMembers());
     }
 
     @Test
-    void elementsThatAreNoNumberCountAsZero() {
+    void numbersReturnsZeroForNonNumericElements() {
         assertEquals(List.of(1.0, 0.0, 2.5), OBJECT.numbers("mixed"));
     }
 
     @Test
-    void aTextThatIsNotExactlyOneObjectIsRefused() {
+    void parseRejectsTextThatIsNotExactlyOneObject() {
         assertMalformed("a line must be a JSON object", () -> JsonObject.parse("[]", "a line"));
         assertMalformed("a line must be a JSON object", () -> JsonObject.parse("", "a line"));
         assertMalformed(
                 "a line has text after its JSON object", () -> JsonObject.parse("{} {}", "a line"));
-        String torn =
+        String truncatedTextMessage =
                 assertThrows(
                                 MalformedJsonException.class,
                                 () -> JsonObject.parse("{\"a\":", "a line"))
                         .getMessage();
-        assertTrue(torn.startsWith("a line is not JSON: "), torn);
-        assertEquals(1, torn.lines().count(), torn);
+        assertTrue(truncatedTextMessage.startsWith("a line is not JSON: "), truncatedTextMessage);
+        assertEquals(1, truncatedTextMessage.lines().count(), truncatedTextMessage);
     }
 }
