--- a/src/main/java/waytrestle/front/kserve/FunctionErrorBody.java
+++ b/src/main/java/waytrestle/front/kserve/FunctionErrorBody.java
@@ -14,7 +14,10 @@
 final class FunctionErrorBody {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Limit in bytes: of a longer body only this beginning is read, and it is not parsed. */
+    /**
+     * Limit of the bytes read of a body. A longer body is not parsed, and counts as no error
+     * object.
+     */
     private static final long MAX_PARSED_BYTES = 65_536;
 
     /** Limit of a message that is to be put into an error object, in characters. */
--- a/src/main/java/waytrestle/front/kserve/InferRequestValidator.java
+++ b/src/main/java/waytrestle/front/kserve/InferRequestValidator.java
@@ -83,6 +83,8 @@
         long binaryBytes = -1;
 
         boolean hasData, hasStrings, hasBooleans, hasIntegers, hasFractions;
+
+        /** Number of elements in the JSON data. */
         long jsonElements;
 
         /** Bounds of the integers in the JSON data; null without integers. */
--- a/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Writes the content of a JSON document. */
+    /** Writes the content of a JSON document to a generator. */
     private interface JsonWriter {
         void write(JsonGenerator json) throws IOException;
     }
