--- a/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
@@ -288,7 +288,7 @@
                                             .substring(7)
                                             .trim()
                                             .getBytes(StandardCharsets.UTF_8));
-            return config.tenantByKey().get(HexFormat.of().formatHex(keyHash));
+            return config.tenantByKeyHash().get(HexFormat.of().formatHex(keyHash));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("the Java runtime does not provide SHA-256", e);
         }
@@ -311,13 +311,13 @@
                     "Inference-Header-Content-Length: must be from 0 to " + bodyBytes);
             return;
         }
-        if (jsonBytes > config.jsonBytes()) {
+        if (jsonBytes > config.maxJsonBytes()) {
             reject(
                     exchange,
                     413,
                     "json",
                     "the JSON part is over "
-                            + config.jsonBytes()
+                            + config.maxJsonBytes()
                             + " bytes; send tensors as binary");
             return;
         }
--- a/src/main/java/waytrestle/front/webhook/Signatures.java
+++ b/src/main/java/waytrestle/front/webhook/Signatures.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import waytrestle.config.SecretForm;
+import waytrestle.config.SecretFormat;
 
 /**
  * Verifies signatures of the Standard Webhooks specification against the secrets of an endpoint. A
@@ -43,8 +43,8 @@
      */
     public Signatures(List<String> encodedSecrets) {
         for (String secret : encodedSecrets) {
-            byte[] key = SecretForm.key(secret);
-            if (secret.startsWith(SecretForm.HMAC)) {
+            byte[] key = SecretFormat.decodeKey(secret);
+            if (secret.startsWith(SecretFormat.HMAC_PREFIX)) {
                 hmacSecrets.add(new SecretKeySpec(key, "HmacSHA256"));
                 continue;
             }
@@ -132,7 +132,8 @@
                 + Base64.getEncoder()
                         .encodeToString(
                                 hmacOf(
-                                        new SecretKeySpec(SecretForm.key(secret), "HmacSHA256"),
+                                        new SecretKeySpec(
+                                                SecretFormat.decodeKey(secret), "HmacSHA256"),
                                         prefix,
                                         body));
     }
--- a/src/main/java/waytrestle/front/webhook/WebhookFrontEnd.java
+++ b/src/main/java/waytrestle/front/webhook/WebhookFrontEnd.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import waytrestle.config.GatewayConfig.Endpoint;
+import waytrestle.config.GatewayConfig.WebhookEndpoint;
 import waytrestle.front.FrontEnd;
 import waytrestle.front.FrontEnds;
 import waytrestle.http.HttpMessage;
@@ -31,7 +31,7 @@
 
     /** An endpoint, the verifier of its secrets, and its request class. */
     private record EndpointContext(
-            Endpoint endpoint, Signatures signatures, RequestClass requestClass) {}
+            WebhookEndpoint endpoint, Signatures signatures, RequestClass requestClass) {}
 
     private final Map<String, EndpointContext> contextsByPath = new HashMap<>();
     private final long toleranceSeconds, transitMicros;
@@ -49,13 +49,13 @@
      * @param isKnownFunction returns whether requests for a function of the given name are accepted
      */
     public WebhookFrontEnd(
-            List<Endpoint> endpoints,
+            List<WebhookEndpoint> endpoints,
             List<RequestClass> classes,
             long toleranceSeconds,
             long transitMicros,
             Predicate<String> isKnownFunction,
             RequestHandler requestHandler) {
-        for (Endpoint endpoint : endpoints) {
+        for (WebhookEndpoint endpoint : endpoints) {
             contextsByPath.put(
                     endpoint.path(),
                     new EndpointContext(
@@ -148,7 +148,8 @@
         }
         String function = context.endpoint().fixedFunction();
         if (function.isEmpty()) {
-            function = JsonPointerReader.textAt(context.endpoint().pointer(), message.body());
+            function =
+                    JsonPointerReader.textAt(context.endpoint().functionPointer(), message.body());
         }
         if (!FrontEnds.isFunctionName(function)) {
             reject(
@@ -156,7 +157,7 @@
                     400,
                     "function",
                     "the payload names no function at "
-                            + context.endpoint().pointer()
+                            + context.endpoint().functionPointer()
                             + ": 1 to 128 letters, figures, dots, dashes or underscores");
             return;
         }
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -62,7 +62,7 @@
         this.config = config;
         this.loop =
                 new Loop(
-                        "controller-" + config.module().controllerIndex(),
+                        "controller-" + config.schedulerSettings().controllerIndex(),
                         e -> LOG.error("handler.failed", e));
     }
 
@@ -80,9 +80,9 @@
         made.loop.start();
         LOG.info(
                 "gateway.started controller={} controllers={} address={}:{} admin_port={}",
-                config.module().controllerIndex(),
-                config.module().controllerCount(),
-                config.listen().getAddress().getHostAddress(),
+                config.schedulerSettings().controllerIndex(),
+                config.schedulerSettings().controllerCount(),
+                config.listenAddress().getAddress().getHostAddress(),
                 made.port(),
                 made.admin.port());
         return made;
@@ -94,15 +94,15 @@
         OverloadControl overload =
                 new OverloadControl(
                         config.overload(),
-                        config.module().limits().maxInFlight(),
-                        config.module().tenants(),
-                        config.bounds(),
-                        config.module().classes());
+                        config.schedulerSettings().limits().maxInFlight(),
+                        config.schedulerSettings().tenants(),
+                        config.tenantLimits(),
+                        config.schedulerSettings().classes());
         AdmissionControl gate = config.overload().enabled() ? overload : AdmissionControl.ADMIT_ALL;
-        if (!config.access().file().isEmpty()) {
+        if (!config.accessLog().file().isEmpty()) {
             access =
                     new FileAccessLog(
-                            config.access(),
+                            config.accessLog(),
                             config.seed(),
                             e -> LOG.warn("access_log.failed error=\"{}\"", e.toString()));
             metrics.registerFamily(
@@ -121,7 +121,7 @@
         controller =
                 new Controller(
                         new SocketTransport(loop, config),
-                        watch.parts(),
+                        watch.dependencies(),
                         wallMillis,
                         watch,
                         access == null ? AccessLog.OFF : access,
@@ -155,9 +155,9 @@
                                 stop();
                             }
                         });
-        watch.gauges(controller);
+        watch.registerMetrics(controller);
         endpoints = new EndpointSource(config, controller, loop, wallMillis);
-        endpoints.register(metrics);
+        endpoints.registerMetrics(metrics);
         try {
             Predicate<String> known =
                     name ->
@@ -166,18 +166,18 @@
             List<FrontEnd> fronts = new ArrayList<>();
             webhooks =
                     new WebhookFrontEnd(
-                            config.endpoints(),
-                            config.module().classes(),
-                            config.ids().signatureToleranceSeconds(),
+                            config.webhookEndpoints(),
+                            config.schedulerSettings().classes(),
+                            config.idempotencyBounds().signatureToleranceSeconds(),
                             config.transitMicros(),
                             known,
                             controller);
             fronts.add(webhooks);
-            if (!config.kserve().tenantByKey().isEmpty()) {
+            if (!config.kserve().tenantByKeyHash().isEmpty()) {
                 fronts.add(
                         new KserveFrontEnd(
                                 config.kserve(),
-                                config.module().classes(),
+                                config.schedulerSettings().classes(),
                                 config.functions().keySet(),
                                 config.transitMicros(),
                                 known,
@@ -185,11 +185,14 @@
             }
             router = new Router(fronts);
             ConnectionGuard door = new ConnectionGuard(config);
-            server = new HttpServer(loop, config.listen(), config.http(), door, router);
-            metrics.registerGauge("waytrestle_body_bytes", "", door::bytes);
-            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waiting);
+            server =
+                    new HttpServer(loop, config.listenAddress(), config.httpLimits(), door, router);
+            metrics.registerGauge("waytrestle_body_bytes", "", door::reservedBodyBytes);
+            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waitingBodies);
             metrics.registerGauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
-            admin = new HttpServer(loop, config.admin(), config.http(), 64, this::page);
+            admin =
+                    new HttpServer(
+                            loop, config.adminAddress(), config.httpLimits(), 64, this::page);
             metrics.setHelp("waytrestle_body_bytes", "Bytes of request bodies held at present.");
             metrics.setHelp(
                     "waytrestle_bodies_waiting",
@@ -212,13 +215,13 @@
             metrics.registerGauge("waytrestle_connections", "", server::connections);
             metrics.registerGauge("waytrestle_timers", "", loop::timerCount);
             process();
-            if (config.peers().listen() != null) {
+            if (config.gossip().listenAddress() != null) {
                 peers =
                         new GossipSocket(
                                 loop,
-                                config.module().controllerIndex(),
-                                config.peers().listen(),
-                                config.peers().others(),
+                                config.schedulerSettings().controllerIndex(),
+                                config.gossip().listenAddress(),
+                                config.gossip().peerAddresses(),
                                 controller::gossipReceived);
             }
         } catch (IOException | RuntimeException e) {
@@ -343,7 +346,9 @@
                     LOG.info("gateway.stopping in_flight={}", controller.inFlight());
                     server.stopAccepting();
                     controller.startShutdown();
-                    await(Loop.nowMicros() + LINGER, Loop.nowMicros() + config.stopGraceMicros());
+                    await(
+                            Loop.nowMicros() + LINGER,
+                            Loop.nowMicros() + config.shutdownGraceMicros());
                 });
     }
 
@@ -372,7 +377,7 @@
      */
     public boolean reload() {
         Map<String, List<String>> read = new HashMap<>();
-        for (GatewayConfig.Endpoint e : config.endpoints()) {
+        for (GatewayConfig.WebhookEndpoint e : config.webhookEndpoints()) {
             if (!e.secretsFile().isEmpty()) {
                 try {
                     read.put(e.path(), SecretsFile.read(e.secretsFile()));
@@ -413,7 +418,7 @@
     }
 
     /** Runs a task on the gateway's loop; for tests that must act between its events. */
-    public void onLoop(Runnable task) {
+    public void executeOnLoop(Runnable task) {
         loop.execute(task);
     }
 }
