--- a/src/main/java/waytrestle/config/platform/PlatformConfig.java
+++ b/src/main/java/waytrestle/config/platform/PlatformConfig.java
@@ -18,18 +18,20 @@
 /**
  * The configuration of one controller: the JSON file that {@code BALANCER_CONFIG} names.
  *
- * @param listenAddress where requests are accepted
- * @param seed the seed of the scheduler's random choices, all 64 bits of it
- * @param maxOpenSockets how many sockets the controller may hold open
- * @param gossipListenAddress where gossip is received, or null
- * @param peerAddresses the addresses of the other controllers by their index
- * @param allPeersAddress an address that reaches all other controllers, or null
+ * @param name the controller's name; empty if the file has none
+ * @param listenAddress the address at which requests are accepted
+ * @param seed the 64-bit seed of the scheduler's random choices
+ * @param maxOpenSockets the largest number of sockets that the controller may hold open
+ * @param gossipListenAddress the address at which gossip is received, or null
+ * @param peerAddresses the addresses of the other controllers for gossip, by controller index
+ * @param allPeersAddress an address at which gossip reaches all other controllers, or null
  * @param watchServerAddress the address of the watch stream of service discovery
- * @param knownRevision the revision of the last watch event that the file knows of
- * @param knownEvents the watch events that the file already holds
- * @param eventReader the reader for later watch events, with the same zones and kinds
- * @param invokerIdleTimeoutMicros how long invokers keep an idle connection, in microseconds; 0 if
- *     not declared
+ * @param knownRevision the revision of the last watch event that the file takes into account
+ * @param knownEvents the watch events that the file contains
+ * @param eventReader the reader for later watch events, with the zones and invoker kinds of the
+ *     file
+ * @param invokerIdleTimeoutMicros the time after which invokers close an idle connection, in
+ *     microseconds; 0 if not declared
  */
 public record PlatformConfig(
         String name,
@@ -48,7 +50,10 @@
 
     private static final int SEED_RADIX = 16;
 
-    /** The file cannot be read or is malformed: names the file, the field and the fault. */
+    /**
+     * Thrown if a file cannot be read or is malformed. The message names the file, and the field
+     * and the fault in it.
+     */
     public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -112,7 +117,7 @@
         return events;
     }
 
-    /** The addresses of all controllers by their index, but for the controller's own. */
+    /** Returns the addresses of all controllers but this one, by controller index. */
     private static Map<Integer, InetSocketAddress> peers(JsonObject root, int ownIndex) {
         Map<Integer, InetSocketAddress> peers = new LinkedHashMap<>();
         for (String address : root.texts("peers")) {
@@ -134,7 +139,7 @@
         return WatchEventReader.address(text, field);
     }
 
-    /** An address, or null if the field is absent or empty. */
+    /** Returns an address, or null if the field is absent or empty. */
     private static InetSocketAddress optionalAddress(JsonObject root, String field) {
         String text = root.text(field);
         return text.isEmpty() ? null : address(text, field);
--- a/src/main/java/waytrestle/invoker/platform/PlatformInvokerProtocol.java
+++ b/src/main/java/waytrestle/invoker/platform/PlatformInvokerProtocol.java
@@ -15,8 +15,9 @@
 import waytrestle.scheduler.StartKind;
 
 /**
- * Writes requests to the platform's invokers and reads their responses. This is the one place that
- * knows their wire words.
+ * Writes messages to the platform's invokers and reads their responses. The paths, headers and
+ * status codes of the invokers' protocol are used in this class only, but for the status codes in
+ * {@link PlatformResponseClassifier}.
  *
  * <p>Immutable.
  */
@@ -32,33 +33,40 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    /** Values of one load report: bounds what a faulty invoker can make this side hold. */
+    /** Values read from one load report: bounds the memory that a faulty invoker can take up. */
     private static final int MAX_LOAD_REPORT_VALUES = 64;
 
-    /** More concurrent requests than this at one invoker are not told apart. */
+    /** Reported concurrent requests at one invoker: a higher number is read as this one. */
     private static final long MAX_CONCURRENCY = 1_000_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long MIN_TIMEOUT_MILLIS = 1;
 
-    /** Marks a value that the response does not report. */
+    /** Stands for a value that the response does not report. */
     private static final int NOT_REPORTED = -1;
 
     private final String host;
     private final boolean reportsConcurrency;
 
     /**
-     * The protocol with one invoker.
+     * Creates the protocol for one invoker.
      *
      * @param host value of the Host header
-     * @param reportsConcurrency whether the settings promise the number of concurrent requests
+     * @param reportsConcurrency whether the settings declare that responses state the number of
+     *     concurrent requests
      */
     public PlatformInvokerProtocol(String host, boolean reportsConcurrency) {
         this.host = host;
         this.reportsConcurrency = reportsConcurrency;
     }
 
-    /** An attempt at a request; one without a body is a GET. */
+    /**
+     * Returns the buffers of an attempt of a request: a GET if the body is empty, otherwise a POST.
+     *
+     * @param id the request's id as the invoker is to see it
+     * @param timeoutMicros time limit that the invoker is told, in whole milliseconds and at least
+     *     1 ms
+     */
     public ByteBuffer[] attemptMessage(
             String requestClass, String id, String function, long timeoutMicros, Bytes body) {
         boolean empty = body.size() == 0;
@@ -78,25 +86,31 @@
         return buffers.toArray(ByteBuffer[]::new);
     }
 
-    /** A request to have at least so many instances loaded; 0 only asks how many are. */
+    /**
+     * Returns a preload request: asks the invoker to hold at least the given number of instances of
+     * the function.
+     *
+     * @param instances number of instances; 0 only asks how many are loaded
+     */
     public ByteBuffer preloadMessage(String function, int instances) {
         return HttpWriter.request("PUT", PATH_PREFIX + function + "/" + instances, host).head();
     }
 
-    /** A request to unload a function. */
+    /** Returns a request to unload a function. */
     public ByteBuffer unloadMessage(String function) {
         return HttpWriter.request("DELETE", PATH_PREFIX + function, host).head();
     }
 
-    /** A health check, with or without a load report in its response. */
+    /** Returns a health check, with or without a load report in its response. */
     public ByteBuffer healthCheckMessage(boolean withLoadReport) {
         return HttpWriter.request("GET", withLoadReport ? "/load" : "/alive", host).head();
     }
 
     /**
-     * What a response comes to. A rejection that is not marked as not run proves nothing, so it
-     * counts as malformed; so does a response that only the close of its connection ended, for it
-     * may be cut off.
+     * Returns the result of the exchange that a response ends. A rejection without the mark that
+     * the request has not run proves nothing, so it counts as malformed. A response whose end is
+     * only marked by the close of the connection counts as malformed too, since it may be
+     * truncated.
      */
     public static ExchangeResult exchangeResult(HttpMessage response) {
         if (response.endedByClose()) {
@@ -114,18 +128,21 @@
         return new ExchangeResult(Kind.STATUS, status);
     }
 
-    /** The function's response, to be passed on as it is. */
+    /** Returns the function's response, to be passed on unchanged. */
     public static Served functionResponse(HttpMessage response) {
         String contentType = response.header("content-type");
         return new Served(contentType == null ? "" : contentType, response.content(), NOT_REPORTED);
     }
 
-    /** Loaded instances of a function, as the response to a preload reports them; 0 without. */
+    /**
+     * Returns the number of loaded instances of a function that the response to a preload request
+     * reports; 0 if it reports none.
+     */
     public static int loadedInstances(HttpMessage response) {
         return (int) readCount(response.header(LOADED_INSTANCES_HEADER), Integer.MAX_VALUE);
     }
 
-    /** The load report of a response; how an instance was started is not reported here. */
+    /** Returns the load report of a response. The protocol does not report a start kind. */
     public LoadMetrics loadMetrics(HttpMessage response) {
         return new LoadMetrics(
                 readLoadReport(response.header(LOAD_REPORT_HEADER)),
@@ -134,15 +151,17 @@
                 NOT_REPORTED);
     }
 
+    /** Returns the number of concurrent requests, or {@link #NOT_REPORTED}. */
     private int readConcurrency(HttpMessage response) {
-        boolean carriesIt = response.status() == OK || response.status() == SERVICE_UNAVAILABLE;
-        if (!reportsConcurrency || !carriesIt) {
+        boolean carriesConcurrency =
+                response.status() == OK || response.status() == SERVICE_UNAVAILABLE;
+        if (!reportsConcurrency || !carriesConcurrency) {
             return NOT_REPORTED;
         }
         return (int) readCount(response.header(CONCURRENCY_HEADER), MAX_CONCURRENCY);
     }
 
-    /** A count between 0 and the maximum; 0 where it is missing or malformed. */
+    /** Returns a count, limited to 0 to {@code max}; 0 if the text is null or malformed. */
     private static long readCount(String text, long max) {
         if (text == null) {
             return 0;
@@ -155,24 +174,25 @@
     }
 
     /**
-     * Reads a list as in {@code inflight:7;util:0.61}. Malformed entries are ignored, for a report
-     * is advisory.
+     * Reads a load report such as {@code inflight:7;util:0.61}; null reads as an empty one.
+     * Malformed entries are ignored, since a load report is advisory.
      */
     private static Map<String, Double> readLoadReport(String header) {
         if (header == null) {
             return Map.of();
         }
-        Map<String, Double> report = new HashMap<>();
+        Map<String, Double> valuesByName = new HashMap<>();
         for (String entry : header.split(";")) {
             int colon = entry.indexOf(':');
             double value = colon > 0 ? readDouble(entry.substring(colon + 1)) : Double.NaN;
-            if (Double.isFinite(value) && report.size() < MAX_LOAD_REPORT_VALUES) {
-                report.put(entry.substring(0, colon).trim(), value);
+            if (Double.isFinite(value) && valuesByName.size() < MAX_LOAD_REPORT_VALUES) {
+                valuesByName.put(entry.substring(0, colon).trim(), value);
             }
         }
-        return report;
+        return valuesByName;
     }
 
+    /** Returns the number, or NaN if the text is malformed. */
     private static double readDouble(String text) {
         try {
             return Double.parseDouble(text.trim());
--- a/src/main/java/waytrestle/invoker/platform/PlatformResponseClassifier.java
+++ b/src/main/java/waytrestle/invoker/platform/PlatformResponseClassifier.java
@@ -8,9 +8,9 @@
 import waytrestle.scheduler.ResponseCode;
 
 /**
- * Classifies each result by what the platform's protocol proves, and nothing more: the scheduler
- * gets every result, load report and endpoint list as it came, just as in the bench, and decides
- * alone.
+ * Classifies the result of each exchange by what the platform's protocol proves about it. Passes
+ * every result, load report and endpoint list on to the scheduler unchanged, as the bench does, and
+ * leaves all decisions to the scheduler.
  *
  * <p>Stateless.
  */
@@ -49,13 +49,17 @@
         return new Classification(code, endsRequest, false, false);
     }
 
-    /** The code of any result: attempts, preloads and health checks prove the same by it. */
+    /**
+     * Returns the code of the result of an attempt, a preload request or a health check: a result
+     * proves the same for each of them.
+     */
     @Override
     public ResponseCode codeOfPreloadOrHealthCheck(ExchangeResult result) {
         return switch (result.kind()) {
             case RESPONSE -> ResponseCode.OK;
             case STATUS -> codeOfStatus(result.status());
-            case MALFORMED -> ResponseCode.ERROR; // something was sent back: it may have run
+            // The invoker sent something back, so it may have run the request.
+            case MALFORMED -> ResponseCode.ERROR;
             case NOT_CONNECTED -> ResponseCode.CONNECT_FAILED;
             case CONNECTION_LOST -> ResponseCode.RESET;
             case TIMEOUT -> ResponseCode.TIMEOUT;
@@ -65,7 +69,11 @@
         };
     }
 
-    /** Only rejections that are marked as not run come here with their status. */
+    /**
+     * Returns the code of a status. 503 and 504 only reach this method from rejections that are
+     * marked as not run, since {@link PlatformInvokerProtocol#exchangeResult} reads others as
+     * malformed.
+     */
     private static ResponseCode codeOfStatus(int status) {
         return switch (status) {
             case NOT_FOUND -> ResponseCode.NOT_LOADED;
--- a/src/main/java/waytrestle/platform/ConfigurationReloader.java
+++ b/src/main/java/waytrestle/platform/ConfigurationReloader.java
@@ -7,16 +7,17 @@
 import waytrestle.net.Loop;
 
 /**
- * Reads a new configuration and applies it.
+ * Reads a new configuration file and passes the configuration to a listener.
  *
- * <p>A file that cannot be read changes nothing and is read again a few times, for it may be half
- * written. The file is read on the calling thread, which may be any, so that the event loop never
- * blocks; everything after that happens on the event loop.
+ * <p>A file that cannot be read or is malformed may be half written, so it is read again up to ten
+ * times; if no attempt succeeds, the previous configuration stays in force. The file is read on the
+ * thread that calls {@link #reload}, which may be any thread but the event loop's, since reading
+ * blocks. The event loop writes the log lines and calls the listener.
  */
 final class ConfigurationReloader {
     /**
-     * Reads of a file that is not complete yet: with the pause between them two seconds, half of
-     * the time in which a new configuration must be obeyed.
+     * Largest number of attempts to read one file. With the delay between attempts they take two
+     * seconds, half of the time within which a new configuration must take effect.
      */
     private static final int MAX_READ_ATTEMPTS = 10;
 
@@ -26,28 +27,38 @@
     private final PlatformLog log;
     private final Consumer<PlatformConfig> configurationListener;
 
-    /** Number of the last reload that was requested; any thread increments it. */
+    /** Number of the latest reload request, counted from 1; incremented by any thread. */
     private final AtomicLong lastRequested = new AtomicLong();
 
-    /** Number of the reload that is in force; owned by the event loop. */
+    /**
+     * Number of the reload request whose configuration is in force, 0 before the first reload;
+     * owned by the event loop.
+     */
     private long lastApplied;
 
-    /** The receiver gets each configuration that comes into force, on the event loop. */
-    ConfigurationReloader(Loop loop, PlatformLog log, Consumer<PlatformConfig> receiver) {
+    /**
+     * Creates a reloader.
+     *
+     * @param configurationListener receives each configuration that comes into force, on the event
+     *     loop
+     */
+    ConfigurationReloader(
+            Loop loop, PlatformLog log, Consumer<PlatformConfig> configurationListener) {
         this.loop = loop;
         this.log = log;
-        this.configurationListener = receiver;
+        this.configurationListener = configurationListener;
     }
 
     /**
-     * Reads the file and hands it to the event loop; blocks between attempts. May be called from
-     * any thread. Of two concurrent reloads the one requested last is in force, whichever ends
-     * last.
+     * Reads the file and applies its configuration on the event loop. Blocks the calling thread for
+     * up to two seconds while the file cannot be read. May be called from any thread but the event
+     * loop's. Of two concurrent reloads, the configuration of the one that was requested last stays
+     * in force, whichever completes last.
      */
     void reload(Path file) {
-        long number = lastRequested.incrementAndGet();
+        long reloadNumber = lastRequested.incrementAndGet();
         for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
-            if (tryRead(number, file)) {
+            if (tryRead(reloadNumber, file)) {
                 return;
             }
             try {
@@ -59,10 +70,11 @@
         }
     }
 
-    private boolean tryRead(long number, Path file) {
+    /** Returns whether the file could be read; logs the error if not. */
+    private boolean tryRead(long reloadNumber, Path file) {
         try {
             PlatformConfig config = PlatformConfig.read(file);
-            loop.execute(() -> apply(number, config));
+            loop.execute(() -> apply(reloadNumber, config));
             return true;
         } catch (PlatformConfig.InvalidConfigException e) {
             String line = new LogLine("config.rejected").with("error", e.getMessage()).toString();
@@ -71,11 +83,11 @@
         }
     }
 
-    private void apply(long number, PlatformConfig config) {
-        if (number < lastApplied) {
+    private void apply(long reloadNumber, PlatformConfig config) {
+        if (reloadNumber < lastApplied) {
             return;
         }
-        lastApplied = number;
+        lastApplied = reloadNumber;
         log.logMessage(
                 new LogLine("config.reloaded")
                         .with("watch_address", config.watchServerAddress())
--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -25,61 +25,78 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * Builds the parts of a controller, connects them and starts its event loop.
+ * Creates the components of a controller, connects them and starts the controller's event loop.
  *
- * <p>Not thread-safe: used once, by the thread that starts the controller. Everything it builds
- * belongs to the event loop as soon as that has started.
+ * <p>Not thread-safe: used once, by the thread that starts the controller. All components are owned
+ * by the event loop once it has started.
  */
 final class ControllerBootstrap {
-    /** Descriptors of the runtime, the listener, the watch connection and gossip. */
+    /**
+     * File descriptors kept free of client and invoker connections: those of the Java runtime, the
+     * listener, the watch connection and the gossip socket.
+     */
     private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** At least one connection of a client and one to an invoker. */
+    /** Smallest total number of connections: one from a client and one to an invoker. */
     private static final int MIN_CONNECTIONS = 2;
 
     /**
-     * Share of the other descriptors that client connections may take: the platform's clients hold
-     * a third, and the rest is headroom for their reconnects.
+     * Share of the connections that may come from clients; the others lead to invokers. The
+     * platform's clients hold a third of the connections, and the rest of the share is headroom for
+     * their reconnects.
      */
     private static final double CLIENT_CONNECTION_SHARE = 0.55;
 
-    /** The platform's bodies have 16 KiB at most, and its clients close after 4 s. */
+    /**
+     * Limits on the connections of clients, in bytes, headers and microseconds as {@link
+     * HttpLimits} names them. The platform's request bodies have at most 16 KiB, and its clients
+     * close after 4 s.
+     */
     private static final HttpLimits HTTP_LIMITS =
             new HttpLimits(
                     1_024, 64, 8 * 1_024, 16 * 1_024, 2_000_000, 2_000_000, 10_000_000, 5_000_000);
 
     /**
-     * Time from a connection to its first complete request. Guards against clients that hold a
-     * connection by sending a request without end.
+     * Longest time from the accept of a connection to the end of its first complete request. Guards
+     * against clients that occupy a connection by sending a request without end.
      */
     private static final long FIRST_REQUEST_TIMEOUT_MICROS = 2_000_000;
 
     /**
-     * A client that sees its connection end within 50 ms of its request sends the request once
-     * more, perhaps at another controller, which knows nothing of the first. Guards against a
-     * second run there of a request whose connection broke here while it may have been running.
+     * Shortest time from the break of a connection with a request in flight to the close of that
+     * connection. A client whose connection closes within 50 ms after it sent a request takes the
+     * request for unread and sends it again, perhaps to another controller, which does not know the
+     * request's correlation id. The delay guards against a second run of a request that may already
+     * be running.
      */
     private static final long BROKEN_CLOSE_DELAY_MICROS = 60_000;
 
-    /** Failed decisions within the window after which the scheduler counts as broken. */
+    /**
+     * Failed decisions of the scheduler within {@link #SCHEDULER_FAILURE_WINDOW_MICROS} that are
+     * tolerated; more are reported as a scheduler failure.
+     */
     private static final int MAX_SCHEDULER_FAILURES = 10;
 
     private static final long SCHEDULER_FAILURE_WINDOW_MICROS = 1_000_000;
 
     /**
-     * Part of the drain grace after which requests are served from the configuration's endpoints:
-     * with a watch server that does not answer, half of the grace is left to obey what it says
-     * late.
+     * Divisor of the drain grace that yields the longest wait for the watch server's first
+     * response. After that wait requests are sent to the endpoints of the configuration. The rest
+     * of the drain grace, one half, is left to apply events that the watch server sends late.
      */
     private static final int FIRST_WATCH_RESPONSE_GRACE_DIVISOR = 2;
 
     /**
-     * Correlation ids that are remembered: several seconds of more requests than one core serves.
-     * When all of them are of unsafe requests, new requests are rejected.
+     * Largest number of correlation ids in the idempotency store, where they are the idempotency
+     * keys: several seconds of more requests than one core serves. While all of them belong to
+     * non-idempotent or keyed requests, new requests are rejected.
      */
     private static final int MAX_IDEMPOTENCY_KEYS = 16_384;
 
-    /** Memory of these with the responses of some, beside a heap of 64 MB. */
+    /**
+     * Largest estimated memory of the idempotency store, including stored responses, beside a heap
+     * of 64 MB.
+     */
     private static final long MAX_IDEMPOTENCY_STORE_BYTES = 6 << 20;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -111,7 +128,11 @@
         return new Loop("controller-" + settings.controllerIndex(), log::handlerFailed);
     }
 
-    /** Builds the controller and starts its event loop. */
+    /**
+     * Creates the controller and starts its event loop.
+     *
+     * @throws IOException if a socket cannot be opened, even with retries
+     */
     PlatformController start() throws IOException {
         InvokerAddresses addresses = new InvokerAddresses();
         PlatformEnvironment environment = new PlatformEnvironment(log);
@@ -119,27 +140,28 @@
         PlatformFrontEnd frontEnd =
                 new PlatformFrontEnd(settings.classes(), settings.preloading(), controller);
         ProcessStartTimes startTimes = new ProcessStartTimes(wallMillis);
-        EndpointUpdater endpoints = new EndpointUpdater(controller, addresses, startTimes);
-        StartupGate startup = new StartupGate(config.knownEvents(), endpoints, frontEnd);
-        DiscoveryMonitor discovery = new DiscoveryMonitor(log, controller::listFreshnessChanged);
-        WatchClient watchClient = createWatchClient(endpoints, startup, discovery);
+        EndpointUpdater endpointUpdater = new EndpointUpdater(controller, addresses, startTimes);
+        StartupGate startupGate = new StartupGate(config.knownEvents(), endpointUpdater, frontEnd);
+        DiscoveryMonitor discoveryMonitor =
+                new DiscoveryMonitor(log, controller::listFreshnessChanged);
+        WatchClient watchClient = createWatchClient(endpointUpdater, startupGate, discoveryMonitor);
         environment.attachWatchClient(watchClient);
         GossipSocket gossip = startRetry.open("gossip", () -> openGossip(controller));
         environment.attachGossipSocket(gossip);
         HttpServer server = startRetry.open("listener", () -> openServer(frontEnd));
-        loop.execute(() -> startWatching(watchClient, startup));
+        loop.execute(() -> startWatching(watchClient, startupGate));
         loop.addEndTask(
                 () ->
                         log.logSummary(
                                 controller.refusedSends(),
                                 loop.faults().counts(),
-                                discovery.summary()));
+                                discoveryMonitor.summary()));
         PlatformComponents components =
                 new PlatformComponents(
                         controller, frontEnd, server, watchClient, gossip, addresses, startTimes);
-        PlatformController started = new PlatformController(loop, components, log);
+        PlatformController platformController = new PlatformController(loop, components, log);
         loop.start();
-        return started;
+        return platformController;
     }
 
     private Controller createController(
@@ -175,22 +197,25 @@
     }
 
     /**
-     * A client repeats an id only while it still waits for the response, so an id is remembered for
-     * the longest deadline. Guards against a request that runs again because its response could not
-     * be delivered.
+     * Returns bounds that keep a correlation id for the longest deadline of any request class after
+     * its request has completed: a client repeats a correlation id only while it waits for the
+     * response. Guards against a second run of a request whose response could not be delivered.
      */
     private IdempotencyStore.Bounds idempotencyStoreBounds() {
-        long longestMicros = 0;
+        long longestDeadlineMicros = 0;
         for (RequestClass requestClass : settings.classes()) {
-            longestMicros = Math.max(longestMicros, requestClass.deadlineMicros());
+            longestDeadlineMicros = Math.max(longestDeadlineMicros, requestClass.deadlineMicros());
         }
-        long seconds = Math.max(1, (longestMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND);
+        long retentionSeconds =
+                Math.max(1, (longestDeadlineMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND);
         return new IdempotencyStore.Bounds(
-                MAX_IDEMPOTENCY_KEYS, MAX_IDEMPOTENCY_STORE_BYTES, seconds);
+                MAX_IDEMPOTENCY_KEYS, MAX_IDEMPOTENCY_STORE_BYTES, retentionSeconds);
     }
 
     private WatchClient createWatchClient(
-            EndpointUpdater endpoints, StartupGate startup, DiscoveryMonitor discovery) {
+            EndpointUpdater endpointUpdater,
+            StartupGate startupGate,
+            DiscoveryMonitor discoveryMonitor) {
         WatchState state =
                 new WatchState(config.knownRevision(), settings.rules().drainGraceMicros());
         return new WatchClient(
@@ -198,12 +223,13 @@
                 config.watchServerAddress(),
                 config.eventReader(),
                 state,
-                endpoints::apply,
-                startup::open,
-                freshness -> discovery.freshnessChanged(freshness, state.lastRevision()),
+                endpointUpdater::apply,
+                startupGate::open,
+                freshness -> discoveryMonitor.freshnessChanged(freshness, state.lastRevision()),
                 log::logMessage);
     }
 
+    /** Returns null if the settings allow no gossip or the configuration has no address for it. */
     private GossipSocket openGossip(Controller controller) throws IOException {
         if (!settings.limits().mayGossip() || config.gossipListenAddress() == null) {
             return null;
@@ -226,10 +252,10 @@
                 .withResetOnFullInput();
     }
 
-    private void startWatching(WatchClient watchClient, StartupGate startup) {
+    private void startWatching(WatchClient watchClient, StartupGate startupGate) {
         watchClient.start();
         long maxWaitMicros =
                 settings.rules().drainGraceMicros() / FIRST_WATCH_RESPONSE_GRACE_DIVISOR;
-        loop.after(maxWaitMicros, startup::open);
+        loop.after(maxWaitMicros, startupGate::open);
     }
 }
--- a/src/main/java/waytrestle/platform/EndpointUpdater.java
+++ b/src/main/java/waytrestle/platform/EndpointUpdater.java
@@ -11,7 +11,8 @@
 import waytrestle.scheduler.SchedulerEvent.EndpointsUpdated;
 
 /**
- * Applies watch events to the invokers' addresses, their process starts and the controller.
+ * Applies watch events to the controller's endpoint list, the invokers' addresses and the start
+ * times of the invokers' processes.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -28,8 +29,9 @@
     }
 
     /**
-     * Applies one event. Addresses are set before the controller is notified, for it may connect at
-     * once; they are removed after it, for it may still close connections.
+     * Applies one event, which must not be a heartbeat. Addresses are set before the controller is
+     * notified, since it may connect at once. They are removed after the controller has been
+     * notified, since it may still close connections.
      */
     void apply(WatchEvent event) {
         List<InvokerEndpoint> endpoints = new ArrayList<>(event.endpoints().size());
--- a/src/main/java/waytrestle/platform/GracefulShutdown.java
+++ b/src/main/java/waytrestle/platform/GracefulShutdown.java
@@ -6,25 +6,25 @@
 import waytrestle.net.Loop;
 
 /**
- * Shuts a controller down: takes requests for as long as clients may still send them, completes
- * those in flight, then stops the event loop.
+ * Shuts a controller down: accepts requests for as long as the platform may still route them to
+ * this controller, completes the requests in flight, then stops the event loop.
  *
  * <p>State is owned by the event loop; {@link #start} may be called from any thread.
  */
 final class GracefulShutdown {
-    /** Time after the signal in which the platform still routes requests here. */
+    /** Time after the shutdown signal in which the platform still routes requests here. */
     private static final long ACCEPT_DURATION_MICROS = 800_000;
 
-    /** Time between checks of what is still in flight after that. */
+    /** Time between checks whether requests are still in flight once new ones are not accepted. */
     private static final long COMPLETION_CHECK_INTERVAL_MICROS = 10_000;
 
     /**
-     * Time without a request in flight that partial requests, and responses still being read, are
-     * given: as long as a message may take.
+     * Longest wait, from when no request is in flight, for clients that are still sending a request
+     * or still reading a response: as long as one message may take.
      */
     private static final long PARTIAL_MESSAGE_TIMEOUT_MICROS = 2_000_000;
 
-    /** Time at the end for the last responses to leave. */
+    /** Time between the end of the last request and the stop, for the last responses to leave. */
     private static final long FLUSH_DELAY_MICROS = 100_000;
 
     private final Loop loop;
@@ -68,15 +68,15 @@
     }
 
     private void awaitCompletion() {
-        long now = Loop.nowMicros();
-        boolean inFlight = controller.inFlight() > 0;
-        if (inFlight) {
-            lastInFlightMicros = now;
+        long nowMicros = Loop.nowMicros();
+        boolean requestsInFlight = controller.inFlight() > 0;
+        if (requestsInFlight) {
+            lastInFlightMicros = nowMicros;
         }
-        boolean partialMessages =
+        boolean awaitsPartialMessages =
                 server.busyConnections() > 0
-                        && now - lastInFlightMicros < PARTIAL_MESSAGE_TIMEOUT_MICROS;
-        if (inFlight || partialMessages) {
+                        && nowMicros - lastInFlightMicros < PARTIAL_MESSAGE_TIMEOUT_MICROS;
+        if (requestsInFlight || awaitsPartialMessages) {
             loop.after(COMPLETION_CHECK_INTERVAL_MICROS, this::awaitCompletion);
             return;
         }
--- a/src/main/java/waytrestle/platform/LogLine.java
+++ b/src/main/java/waytrestle/platform/LogLine.java
@@ -1,8 +1,9 @@
 package waytrestle.platform;
 
 /**
- * One line of the log: an event's name and its fields as {@code key=value}. Values with spaces,
- * quotes or equals signs are quoted, and line breaks in them are escaped.
+ * Builds one line of the log: an event's name and its fields as {@code key=value}. Empty values and
+ * values with whitespace, control characters, quotes or equals signs are quoted; backslashes,
+ * quotes and line breaks in quoted values are escaped.
  */
 final class LogLine {
     private final StringBuilder text;
@@ -11,7 +12,7 @@
         text = new StringBuilder(event);
     }
 
-    /** Adds a field. */
+    /** Appends a field and returns this line. */
     LogLine with(String key, Object value) {
         text.append(' ').append(key).append('=').append(quoteIfNeeded(String.valueOf(value)));
         return this;
--- a/src/main/java/waytrestle/platform/PlatformComponents.java
+++ b/src/main/java/waytrestle/platform/PlatformComponents.java
@@ -7,9 +7,10 @@
 import waytrestle.http.HttpServer;
 
 /**
- * The parts of one controller, as the bootstrap has connected them. All belong to its event loop.
+ * The components of one controller, as {@link ControllerBootstrap} has connected them. All are
+ * owned by the controller's event loop.
  *
- * @param gossip null when the settings allow no gossip or give no address for it
+ * @param gossip null if the settings allow no gossip or the configuration has no address for it
  */
 record PlatformComponents(
         Controller controller,
--- a/src/main/java/waytrestle/platform/PlatformController.java
+++ b/src/main/java/waytrestle/platform/PlatformController.java
@@ -11,13 +11,14 @@
 import waytrestle.net.LoopWatchdog;
 
 /**
- * A running controller on the platform: one event loop with a front end, invoker connections, a
+ * A running controller on the platform: one event loop with a front end, connections to invokers, a
  * watch client and gossip.
  *
- * <p>Thread-safe: every method may be called from any thread. What changes or reads the
- * controller's state is handed to its event loop.
+ * <p>Thread-safe: every method may be called from any thread, but {@link #reload} and {@link #join}
+ * block. Whatever changes or reads the controller's state runs on its event loop.
  */
 public final class PlatformController {
+    /** Exit code of the process after a failure of the event loop. */
     private static final int LOOP_FAILED_EXIT_CODE = 3;
 
     private final Loop loop;
@@ -37,11 +38,12 @@
     }
 
     /**
-     * Starts a controller on an event loop of its own.
+     * Starts a controller with its own event loop.
      *
-     * @param wallMillis the wall clock, in Unix milliseconds
-     * @param log where log lines are written
-     * @throws IOException when an address of the configuration cannot be bound
+     * @param wallMillis returns the wall-clock time in Unix milliseconds
+     * @param log receives the log lines
+     * @throws IOException if a socket cannot be opened or an address of the configuration cannot be
+     *     bound
      */
     public static PlatformController start(
             PlatformConfig config, LongSupplier wallMillis, PrintStream log) throws IOException {
@@ -50,10 +52,11 @@
     }
 
     /**
-     * Watches the event loop from now on.
+     * Starts a watchdog that logs stalls of the event loop, and ends the process when a stall lasts
+     * so long that the watchdog gives the event loop up.
      *
-     * @param endProcess ends the process at once, with this exit code, when the loop is stuck for
-     *     good
+     * @param endProcess ends the process at once with the exit code that it is given; called on the
+     *     watchdog's thread
      */
     void startWatchdog(IntConsumer endProcess) {
         LoopWatchdog.StallListener listener =
@@ -77,44 +80,44 @@
         new LoopWatchdog(loop, listener).start();
     }
 
-    /** Runs the controller that the environment describes, until a signal ends it. */
+    /**
+     * Runs the controller that the environment's configuration describes, until a signal ends it.
+     */
     public static void main(String[] args) throws InterruptedException {
         PlatformProcess.run(args);
     }
 
     /**
-     * Reads a new configuration on the calling thread, blocking while it is retried, and applies it
-     * on the event loop. May be called from any thread.
+     * Reads a new configuration on the calling thread, which blocks while failed reads are retried,
+     * and applies it on the event loop.
      */
     void reload(Path file) {
         reloader.reload(file);
     }
 
-    /** Starts a graceful shutdown and returns at once. May be called from any thread. */
+    /** Starts a graceful shutdown and returns at once. */
     void stop() {
         shutdown.start();
     }
 
-    /** The port that the front end listens at. May be called from any thread. */
+    /** Returns the port that the front end listens on. */
     int port() {
         return components.server().port();
     }
 
-    /**
-     * Hands the sizes of all tables to the receiver, on the event loop. May be called from any
-     * thread.
-     */
+    /** Passes the sizes of all tables to the receiver, on the event loop; returns at once. */
     void tableSizes(Consumer<TableSizes> receiver) {
         loop.execute(() -> receiver.accept(measureTables()));
     }
 
     /**
-     * Waits for the event loop to end, at most so long (0: without limit).
+     * Waits for the event loop to end.
      *
-     * @return the exit code of the process
+     * @param timeoutMillis longest wait; 0 waits without limit
+     * @return the exit code for the process: 0, or 3 if the event loop has failed
      */
-    int join(long millis) throws InterruptedException {
-        loop.join(millis);
+    int join(long timeoutMillis) throws InterruptedException {
+        loop.join(timeoutMillis);
         return loop.failed() ? LOOP_FAILED_EXIT_CODE : 0;
     }
 
@@ -129,7 +132,10 @@
                 loop.timerCount());
     }
 
-    /** The watch server and the peers may have moved; all other settings need a restart. */
+    /**
+     * Applies the addresses of the watch server and of the other controllers; all other settings
+     * need a restart.
+     */
     private void applyConfiguration(PlatformConfig config) {
         components.watchClient().addressChanged(config.watchServerAddress());
         if (components.gossip() != null) {
--- a/src/main/java/waytrestle/platform/PlatformEnvironment.java
+++ b/src/main/java/waytrestle/platform/PlatformEnvironment.java
@@ -5,7 +5,7 @@
 import waytrestle.gateway.GossipSocket;
 
 /**
- * What the controller reaches beyond invokers: gossip and the log.
+ * Connects the controller to service discovery, the other controllers and the log.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
@@ -18,12 +18,12 @@
         this.log = log;
     }
 
-    /** Sets the socket for gossip, before the event loop starts; null sends none. */
+    /** Sets the gossip socket before the event loop starts; with null, no gossip is sent. */
     void attachGossipSocket(GossipSocket socket) {
         gossip = socket;
     }
 
-    /** Sets who follows the endpoints, before the event loop starts. */
+    /** Sets the client of service discovery before the event loop starts; must not be null. */
     void attachWatchClient(WatchClient client) {
         watchClient = client;
     }
@@ -35,9 +35,9 @@
 
     /** Does nothing: the watch server sends every event without a subscription. */
     @Override
-    public void subscribe(boolean active) {}
+    public void subscribe(boolean enabled) {}
 
-    /** Does nothing: endpoints are watched, not fetched. */
+    /** Does nothing: endpoint updates come from the watch server and are never fetched. */
     @Override
     public void fetchEndpoints() {}
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Logs and goes on: to end the process would lose every request in flight. */
+    /** Logs the failure; ending the process would lose every request in flight. */
     @Override
     public void schedulerFailed(String reason) {
         log.logMessage(new LogLine("scheduler.failed").with("reason", reason).toString());
--- a/src/main/java/waytrestle/platform/PlatformInvokerClient.java
+++ b/src/main/java/waytrestle/platform/PlatformInvokerClient.java
@@ -15,7 +15,7 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Sends attempts, preloads and health checks to one invoker of the platform.
+ * Sends attempts, preload and unload requests and health checks to one invoker of the platform.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
--- a/src/main/java/waytrestle/platform/PlatformLog.java
+++ b/src/main/java/waytrestle/platform/PlatformLog.java
@@ -19,25 +19,30 @@
 import waytrestle.scheduler.SchedulerEvent;
 
 /**
- * Writes the controller's log lines, each with the time of the wall clock, at most so many a
- * second.
+ * Writes the controller's log lines, each preceded by the wall-clock time, and counts outcomes for
+ * the summary that is logged when the controller ends. The number of lines per second is limited.
  *
- * <p>Not thread-safe: used by the controller's event loop.
+ * <p>Not thread-safe: used by the controller's event loop, except for the methods that say
+ * otherwise.
  */
 final class PlatformLog implements ControllerListener {
     /**
-     * Enough for any one event, few enough for any flood. Guards against a flood of lines on a disk
-     * that is the controller's memory.
+     * Log lines per second beyond which further ones are dropped: enough for any single event.
+     * Guards against a flood of lines, since the disk that holds the log takes its space from the
+     * controller's memory.
      */
     private static final int MAX_LINES_PER_SECOND = 20;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Work that was written after a stop of the process, by a check from before it. */
+    /**
+     * Event of an attempt or preload request that was sent late because the process was stopped
+     * between the last check and the send.
+     */
     private static final String SEND_DELAYED_EVENT = "send.delayed";
 
-    /** Ends of attempts that say something of a fault; the others are counted alone. */
+    /** Codes of attempts that indicate a fault and are logged one by one; all codes are counted. */
     private static final Set<ResponseCode> LOGGED_CODES =
             EnumSet.of(
                     ResponseCode.ERROR,
@@ -54,7 +59,7 @@
     private final Map<ResponseCode, Long> preloadsByCode = new EnumMap<>(ResponseCode.class);
     private final Map<ResponseCode, Long> healthChecksByCode = new EnumMap<>(ResponseCode.class);
 
-    /** By outcome and reason, both of which are few. */
+    /** Number of requests by {@code outcome/reason}, or by outcome alone without a reason. */
     private final Map<String, Long> requestsByOutcome = new TreeMap<>();
 
     private long currentSecond;
@@ -67,7 +72,7 @@
 
     @Override
     public void decisionFailed(
-            SchedulerEvent event, Collection<SchedulerEvent> before, Throwable cause) {
+            SchedulerEvent event, Collection<SchedulerEvent> recentEvents, Throwable cause) {
         logMessage(
                 new LogLine("scheduler.decision_failed")
                         .with("event", event)
@@ -76,7 +81,7 @@
         logStackTrace(cause);
     }
 
-    /** Logs what a handler of the event loop has thrown. */
+    /** Logs an exception that a handler of the event loop has thrown, with its stack trace. */
     void handlerFailed(Throwable cause) {
         logMessage(new LogLine("handler.failed").with("error", cause).toString());
         logStackTrace(cause);
@@ -92,7 +97,10 @@
         return new LogLine("stack.frame").with("at", frame).toString();
     }
 
-    /** Logs where the event loop is stuck. May be called from any thread. */
+    /**
+     * Logs that the event loop is stuck, with the stack trace of its thread. May be called from any
+     * thread; not subject to the limit on lines per second.
+     */
     void loopStalled(StackTraceElement[] stack) {
         print(new LogLine("loop.stalled").toString());
         for (StackTraceElement frame : stack) {
@@ -100,12 +108,18 @@
         }
     }
 
-    /** Logs that the event loop runs again. May be called from any thread. */
+    /**
+     * Logs that the event loop runs again after a stall. May be called from any thread; not subject
+     * to the limit on lines per second.
+     */
     void loopRecovered() {
         print(new LogLine("loop.recovered").toString());
     }
 
-    /** Logs that the process is ended since its event loop is stuck. From any thread. */
+    /**
+     * Logs that the process ends because its event loop is stuck. May be called from any thread;
+     * not subject to the limit on lines per second.
+     */
     void loopGivenUp() {
         print(new LogLine("loop.given_up").with("exit_code", LoopWatchdog.EXIT_CODE).toString());
     }
@@ -128,29 +142,30 @@
 
     @Override
     public void attemptSendDelayed(
-            IncomingRequest request, int attempt, String invoker, long micros) {
+            IncomingRequest request, int attempt, String invoker, long delayMicros) {
         logMessage(
                 new LogLine(SEND_DELAYED_EVENT)
                         .with("id", request.forwardedRequestId())
                         .with("attempt", attempt)
                         .with("invoker", invoker)
-                        .with("delay_ms", micros / MICROS_PER_MILLI)
+                        .with("delay_ms", delayMicros / MICROS_PER_MILLI)
                         .toString());
     }
 
     @Override
-    public void preloadSendDelayed(String invoker, String function, long micros) {
+    public void preloadSendDelayed(String invoker, String function, long delayMicros) {
         logMessage(
                 new LogLine(SEND_DELAYED_EVENT)
                         .with("preload", function)
                         .with("invoker", invoker)
-                        .with("delay_ms", micros / MICROS_PER_MILLI)
+                        .with("delay_ms", delayMicros / MICROS_PER_MILLI)
                         .toString());
     }
 
     @Override
-    public void requestCompleted(IncomingRequest request, String end, String reason, long micros) {
-        String outcome = reason.isEmpty() ? end : end + "/" + reason;
+    public void requestCompleted(
+            IncomingRequest request, String outcomeLabel, String reasonLabel, long elapsedMicros) {
+        String outcome = reasonLabel.isEmpty() ? outcomeLabel : outcomeLabel + "/" + reasonLabel;
         requestsByOutcome.merge(outcome, 1L, Long::sum);
     }
 
@@ -192,14 +207,17 @@
     }
 
     /**
-     * Logs what was counted since the start. Not subject to the limit on lines.
+     * Logs the counts since the start. Not subject to the limit on lines per second.
      *
-     * @param discovery how often and for how long service discovery was out of reach
+     * @param refusedSends number of sends that the send guard refused, by reason
+     * @param systemFaults number of failed system calls, by {@code operation.reaction}
+     * @param discoverySummary the outages of service discovery, as {@link DiscoveryMonitor#summary}
+     *     returns them
      */
     void logSummary(
             Map<SendGuard.Refusal, Long> refusedSends,
             Map<String, Long> systemFaults,
-            String discovery) {
+            String discoverySummary) {
         print(
                 new LogLine("controller.summary")
                         .with("requests", requestsByOutcome)
@@ -208,12 +226,13 @@
                         .with("refused_sends", refusedSends)
                         .with("preloads", preloadsByCode)
                         .with("health_checks", healthChecksByCode)
-                        .with("discovery", discovery)
+                        .with("discovery", discoverySummary)
                         .with("sent_on_expired_list", sentOnExpiredList)
                         .with("system_faults", systemFaults)
                         .toString());
     }
 
+    /** Writes a line, or drops it if the limit on lines per second is reached. */
     @Override
     public void logMessage(String line) {
         long second = Loop.nowMicros() / MICROS_PER_SECOND;
--- a/src/main/java/waytrestle/platform/PlatformProcess.java
+++ b/src/main/java/waytrestle/platform/PlatformProcess.java
@@ -7,57 +7,66 @@
 import waytrestle.runtime.ProcessSignals;
 
 /**
- * The process of one controller: its environment, signals and exit code.
+ * Runs one controller as a process: reads the environment, handles signals and sets the exit code.
  *
- * <p>Runs on the main thread, which only waits for the event loop; signal handlers run on threads
- * of the runtime.
+ * <p>Runs on the main thread, which starts the controller and then only waits for its event loop.
+ * Signal handlers run on threads of the Java runtime.
  */
 final class PlatformProcess {
-    /** Event of the log line that says that no new configuration will be read. */
+    /**
+     * Event of the log line that tells that the process was started with SIGHUP ignored, so that no
+     * new configuration will be read.
+     */
     static final String SIGNAL_IGNORED_EVENT = "signal.ignored";
 
     private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
-    private static final int USAGE_EXIT_CODE = 2;
 
-    /** Waits for the event loop without limit. */
-    private static final long NO_TIME_LIMIT = 0;
+    /** Exit code after wrong usage, or if the controller cannot be started. */
+    private static final int START_FAILED_EXIT_CODE = 2;
+
+    /** Time limit of {@link PlatformController#join} for a wait without limit. */
+    private static final long NO_TIME_LIMIT_MILLIS = 0;
 
     private PlatformProcess() {}
 
     /** Runs the controller until a signal ends it, then ends the process. */
     static void run(String[] args) throws InterruptedException {
-        String file = System.getenv(CONFIG_VARIABLE);
-        if (args.length != 1 || file == null || file.isEmpty()) {
+        String configurationPath = System.getenv(CONFIG_VARIABLE);
+        if (args.length != 1 || configurationPath == null || configurationPath.isEmpty()) {
             exitWith(
                     "usage: java -jar waytrestle.jar platform, with "
                             + CONFIG_VARIABLE
-                            + " naming its configuration");
+                            + " set to the path of its configuration file");
         }
-        Path path = Path.of(file);
-        // A signal may come before the controller has started: its handler waits for that.
-        CompletableFuture<PlatformController> started = new CompletableFuture<>();
-        handleSignals(path, started);
-        PlatformController controller = start(path);
-        started.complete(controller);
+        Path configurationFile = Path.of(configurationPath);
+        // A signal may arrive before the controller has started: its handler then waits for the
+        // start.
+        CompletableFuture<PlatformController> startedController = new CompletableFuture<>();
+        handleSignals(configurationFile, startedController);
+        PlatformController controller = start(configurationFile);
+        startedController.complete(controller);
         controller.startWatchdog(Runtime.getRuntime()::halt);
-        Runtime.getRuntime().halt(controller.join(NO_TIME_LIMIT));
+        Runtime.getRuntime().halt(controller.join(NO_TIME_LIMIT_MILLIS));
     }
 
-    private static void handleSignals(Path file, CompletableFuture<PlatformController> started) {
-        boolean reloads =
-                ProcessSignals.handle(ProcessSignals.RELOAD, () -> started.join().reload(file));
-        if (!reloads) {
+    private static void handleSignals(
+            Path configurationFile, CompletableFuture<PlatformController> startedController) {
+        boolean receivesReloadSignal =
+                ProcessSignals.handle(
+                        ProcessSignals.RELOAD,
+                        () -> startedController.join().reload(configurationFile));
+        if (!receivesReloadSignal) {
             System.err.println(
                     new LogLine(SIGNAL_IGNORED_EVENT)
                             .with("signal", "HUP")
                             .with("effect", "no new configuration will be read"));
         }
-        ProcessSignals.handle(ProcessSignals.SHUTDOWN, () -> started.join().stop());
+        ProcessSignals.handle(ProcessSignals.SHUTDOWN, () -> startedController.join().stop());
     }
 
-    private static PlatformController start(Path file) {
+    private static PlatformController start(Path configurationFile) {
         try {
-            PlatformConfig config = PlatformConfig.read(file);
+            PlatformConfig config = PlatformConfig.read(configurationFile);
             return PlatformController.start(config, System::currentTimeMillis, System.err);
         } catch (PlatformConfig.InvalidConfigException | IOException e) {
             exitWith("waytrestle: " + e.getMessage());
@@ -67,6 +76,6 @@
 
     private static void exitWith(String message) {
         System.err.println(message);
-        System.exit(USAGE_EXIT_CODE);
+        System.exit(START_FAILED_EXIT_CODE);
     }
 }
--- a/src/main/java/waytrestle/platform/PlatformTransport.java
+++ b/src/main/java/waytrestle/platform/PlatformTransport.java
@@ -12,12 +12,13 @@
 import waytrestle.scheduler.SchedulerSettings;
 
 /**
- * Connects to the platform's invokers over sockets; all connections share one limit.
+ * Opens clients of the platform's invokers. The connections of all clients share one limit on their
+ * number and one on the bytes of the responses being read.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class PlatformTransport extends EventLoopTransport {
-    /** One response: far more than the platform's requests are answered with. */
+    /** Largest body of one response: far more than the platform's functions respond with. */
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final HttpLimits RESPONSE_LIMITS =
@@ -31,26 +32,33 @@
                     0,
                     0);
 
-    /** All responses that are being read: a fraction of the memory. */
+    /** Largest number of bytes of all responses being read: a fraction of the memory. */
     private static final long MAX_BUFFERED_RESPONSE_BYTES = 8 << 20;
 
     /**
-     * Time without a byte within a response: responses are small and sent at once. Guards against
-     * an invoker that stops within a response and holds its request until the deadline.
+     * Longest time without a further byte of a response that has begun to arrive. Invokers send
+     * responses, which are small, in one go. Guards against an invoker that stops in the middle of
+     * a response and so delays the request until its deadline.
      */
     private static final long RESPONSE_STALL_TIMEOUT_MICROS = 250_000;
 
     /**
-     * Time from a response to the next request on its connection. Guards against a duplicate
-     * response, which comes milliseconds late: it names no request and would be taken for the
-     * answer to the next one.
+     * Shortest time from a response to the next request on the same connection. Guards against a
+     * duplicate response, which arrives some milliseconds after the first: it does not name its
+     * request, so it would be taken for the response to the next one.
      */
     private static final long REUSE_DELAY_MICROS = 20_000;
 
-    /** Part of the time after which invokers close idle connections: they must not close first. */
+    /**
+     * Share of the invokers' idle timeout after which this side closes an idle connection: an
+     * invoker must not close first, since its close could cross a request.
+     */
     private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
-    /** Idle time where the settings give none: below the usual five seconds of invokers. */
+    /**
+     * Time after which this side closes an idle connection if the configuration does not declare
+     * the invokers' idle timeout: below the usual five seconds of invokers.
+     */
     private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 4_000_000;
 
     private final SchedulerSettings settings;
@@ -59,20 +67,26 @@
     private final FairByteLimit responseBuffer = new FairByteLimit(MAX_BUFFERED_RESPONSE_BYTES);
     private final long idleTimeoutMicros;
 
-    /** Invokers close idle connections after the given time, 0 where that is not reported. */
+    /**
+     * Creates a transport without connections.
+     *
+     * @param invokerIdleTimeoutMicros time after which invokers close an idle connection; 0 if not
+     *     declared
+     * @param maxConnections largest number of connections to all invokers together
+     */
     PlatformTransport(
             Loop loop,
             SchedulerSettings settings,
             InvokerAddresses addresses,
-            long invokerIdleMicros,
+            long invokerIdleTimeoutMicros,
             int maxConnections) {
         super(loop);
         this.settings = settings;
         this.addresses = addresses;
         this.connectionLimit = new ConnectionLimit(maxConnections);
         this.idleTimeoutMicros =
-                invokerIdleMicros > 0
-                        ? (long) (IDLE_TIMEOUT_SHARE * invokerIdleMicros)
+                invokerIdleTimeoutMicros > 0
+                        ? (long) (IDLE_TIMEOUT_SHARE * invokerIdleTimeoutMicros)
                         : DEFAULT_IDLE_TIMEOUT_MICROS;
     }
 
--- a/src/main/java/waytrestle/platform/ProcessStartTimes.java
+++ b/src/main/java/waytrestle/platform/ProcessStartTimes.java
@@ -8,18 +8,19 @@
 import waytrestle.net.Loop;
 
 /**
- * When each invoker's present process started, on the event loop's monotonic clock.
+ * Converts the start time of each invoker's present process from Unix time to the event loop's
+ * monotonic clock.
  *
- * <p>A reported start is converted once and then remembered. Guards against a start that moves with
- * every event while the wall clock drifts or is stepped.
+ * <p>A reported start time is converted once and the result is stored. Otherwise the converted
+ * start time would change with every event while the wall clock drifts or is stepped.
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
 final class ProcessStartTimes {
-    /** Start of an invoker of which none is reported, or that started long ago. */
+    /** Start time of a process that started long ago or whose start time is not reported. */
     private static final long UNKNOWN_START_MICROS = 0;
 
-    /** A reported start, and the same moment on the monotonic clock. */
+    /** A reported start time in Unix milliseconds, and its conversion to the monotonic clock. */
     private record ProcessStart(long unixMillis, long loopMicros) {}
 
     private final StartTimeTranslation translation;
@@ -29,7 +30,12 @@
         this.translation = new StartTimeTranslation(Loop::nowMicros, wallMillis);
     }
 
-    /** Converts a start as reported in Unix milliseconds; 0 or less is not reported and gives 0. */
+    /**
+     * Returns the start time of an invoker's process in microseconds on the monotonic clock, or 0
+     * if it is not reported.
+     *
+     * @param unixMillis the reported start time; 0 or less stands for one that is not reported
+     */
     long startedAtMicros(String invoker, long unixMillis) {
         if (unixMillis <= 0) {
             return UNKNOWN_START_MICROS;
@@ -42,17 +48,17 @@
         return known.loopMicros();
     }
 
-    /** Forgets an invoker. */
+    /** Removes an invoker's start time; does nothing if none is stored. */
     void remove(String invoker) {
         byInvoker.remove(invoker);
     }
 
-    /** Forgets all other invokers. */
+    /** Removes the start times of all invokers that are not in the set. */
     void retainOnly(Set<String> invokers) {
         byInvoker.keySet().retainAll(invokers);
     }
 
-    /** Number of invokers with a reported start. */
+    /** Returns the number of invokers with a reported start time. */
     int size() {
         return byInvoker.size();
     }
--- a/src/main/java/waytrestle/platform/StartRetry.java
+++ b/src/main/java/waytrestle/platform/StartRetry.java
@@ -3,19 +3,22 @@
 import java.io.IOException;
 
 /**
- * Opens what a controller cannot start without, again and again for a while: sockets and
- * descriptors may be lacking for a moment.
+ * Opens resources that a controller cannot start without, and retries failed attempts for up to
+ * three seconds: sockets and file descriptors may be unavailable for a moment.
  *
  * <p>Blocks the calling thread; used by the thread that starts the controller, before its event
  * loop runs.
  */
 final class StartRetry {
-    /** Far above a moment's lack, far below the time in which a controller has to be ready. */
+    /**
+     * Time for which a failed opening is retried: far longer than a momentary shortage, far shorter
+     * than the time within which a controller has to be ready.
+     */
     private static final long RETRY_TIMEOUT_NANOS = 3_000_000_000L;
 
     private static final long RETRY_DELAY_MILLIS = 20;
 
-    /** Opens something. */
+    /** Opens a resource, such as a socket. */
     interface ResourceOpener<T> {
         T open() throws IOException;
     }
@@ -27,23 +30,25 @@
     }
 
     /**
-     * Opens it.
+     * Opens a resource and logs each failed attempt that is retried.
      *
-     * @param what names it in the log
-     * @throws IOException of the last attempt, when it cannot be opened for as long as the patience
+     * @param resourceName names the resource in the log
+     * @return what the opener returns, which may be null
+     * @throws IOException the exception of the last attempt if the resource could not be opened
+     *     within the retry timeout, or if the thread was interrupted between attempts
      */
-    <T> T open(String what, ResourceOpener<T> opening) throws IOException {
-        long begin = System.nanoTime();
+    <T> T open(String resourceName, ResourceOpener<T> opener) throws IOException {
+        long startNanos = System.nanoTime();
         while (true) {
             try {
-                return opening.open();
+                return opener.open();
             } catch (IOException e) {
-                if (System.nanoTime() - begin > RETRY_TIMEOUT_NANOS) {
+                if (System.nanoTime() - startNanos > RETRY_TIMEOUT_NANOS) {
                     throw e;
                 }
                 log.logMessage(
                         new LogLine("start.retried")
-                                .with("what", what)
+                                .with("what", resourceName)
                                 .with("error", e.getMessage())
                                 .toString());
             }
@@ -56,7 +61,7 @@
             Thread.sleep(RETRY_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while starting", e);
+            throw new IOException("interrupted while waiting to retry the start", e);
         }
     }
 }
--- a/src/test/java/waytrestle/invoker/platform/PlatformInvokerProtocolTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformInvokerProtocolTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import waytrestle.http.HttpMessage;
 
-/** What the headers of an invoker's response report. */
+/** Tests what the protocol reads from the headers of an invoker's response. */
 class PlatformInvokerProtocolTest {
     private static final HttpMessage REPORTING_RESPONSE =
             parseResponse(
@@ -18,27 +18,28 @@
     private final PlatformInvokerProtocol protocol = new PlatformInvokerProtocol("h", true);
 
     @Test
-    void concurrencyIsReadAndIsZeroWhereTheHeaderIsMissing() {
-        HttpMessage bare = parseResponse("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(0, protocol.loadMetrics(bare).company());
+    void concurrencyIsReadFromTheHeaderAndIsZeroWithoutIt() {
+        HttpMessage responseWithoutHeader =
+                parseResponse("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(0, protocol.loadMetrics(responseWithoutHeader).company());
         assertEquals(3, protocol.loadMetrics(REPORTING_RESPONSE).company());
     }
 
     @Test
-    void concurrencyThatTheSettingsDoNotPromiseIsIgnored() {
-        PlatformInvokerProtocol unpromised = new PlatformInvokerProtocol("h", false);
-        assertTrue(unpromised.loadMetrics(REPORTING_RESPONSE).company() < 0);
+    void concurrencyIsNotReportedIfTheSettingsDoNotDeclareIt() {
+        PlatformInvokerProtocol withoutConcurrency = new PlatformInvokerProtocol("h", false);
+        assertTrue(withoutConcurrency.loadMetrics(REPORTING_RESPONSE).company() < 0);
     }
 
     @Test
-    void malformedEntriesOfALoadReportAreIgnored() {
+    void malformedLoadReportEntriesAreIgnored() {
         assertEquals(
                 Map.of("inflight", 7.0, "util", 0.61),
                 protocol.loadMetrics(REPORTING_RESPONSE).report());
     }
 
     @Test
-    void loadedInstancesAreRead() {
+    void loadedInstancesAreReadFromTheHeader() {
         assertEquals(2, PlatformInvokerProtocol.loadedInstances(REPORTING_RESPONSE));
     }
 }
--- a/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
@@ -12,11 +12,17 @@
 import waytrestle.responses.ExchangeResult;
 import waytrestle.scheduler.ResponseCode;
 
-/** What an invoker's response proves, from its bytes to the scheduler's code. */
+/**
+ * Tests which response code the scheduler gets for the bytes of an invoker's response, and which
+ * results prove that the request has not run.
+ */
 class PlatformResponseClassifierTest {
     private final PlatformResponseClassifier classifier = new PlatformResponseClassifier();
 
-    /** Parses a response, which may be ended by the close of its connection. */
+    /**
+     * Parses the text of a response. One without a content length is parsed as if its connection
+     * had been closed after the text.
+     */
     static HttpMessage parseResponse(String text) {
         HttpParser parser = HttpParser.responses(HttpLimits.DEFAULT);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -24,14 +30,19 @@
         return message != null ? message : parser.finishAtClose();
     }
 
-    private ResponseCode codeOf(String head) {
-        HttpMessage response = parseResponse("HTTP/1.1 " + head + "\r\n\r\n");
+    /**
+     * Returns the code of a response.
+     *
+     * @param statusAndHeaders status line without the HTTP version, and the header lines
+     */
+    private ResponseCode codeOf(String statusAndHeaders) {
+        HttpMessage response = parseResponse("HTTP/1.1 " + statusAndHeaders + "\r\n\r\n");
         return classifier.codeOfPreloadOrHealthCheck(
                 PlatformInvokerProtocol.exchangeResult(response));
     }
 
     @Test
-    void eachStatusHasItsCode() {
+    void status200IsOk404IsNotLoadedAndOtherStatusesAreErrors() {
         assertEquals(ResponseCode.OK, codeOf("200 OK\r\nContent-Length: 0"));
         assertEquals(ResponseCode.NOT_LOADED, codeOf("404 x\r\nContent-Length: 0"));
         assertEquals(ResponseCode.ERROR, codeOf("500 x\r\nContent-Length: 0"));
@@ -39,7 +50,7 @@
     }
 
     @Test
-    void onlyARejectionMarkedAsNotRunProvesThatNothingRan() {
+    void rejectionProvesNotRunOnlyIfMarkedAsNotRun() {
         assertEquals(ResponseCode.FULL, codeOf("503 x\r\nX-Unrun: 1\r\nContent-Length: 0"));
         assertEquals(ResponseCode.NOT_SENT, codeOf("504 x\r\nX-Unrun: 1\r\nContent-Length: 0"));
         assertEquals(ResponseCode.ERROR, codeOf("503 x\r\nContent-Length: 0"));
@@ -47,12 +58,15 @@
     }
 
     @Test
-    void aResponseThatOnlyTheCloseOfItsConnectionEndedIsAnError() {
-        assertEquals(ResponseCode.ERROR, codeOf("200 OK\r\nX-Other: 1"), "it may be cut off");
+    void responseEndedOnlyByConnectionCloseIsAnError() {
+        assertEquals(
+                ResponseCode.ERROR,
+                codeOf("200 OK\r\nX-Other: 1"),
+                "the response may be truncated");
     }
 
     @Test
-    void onlyAnExchangeInWhichNothingWasSentProvesThatNothingRan() {
+    void exchangeWithoutStatusProvesNotRunOnlyIfNothingWasSent() {
         for (ExchangeResult.Kind kind : ExchangeResult.Kind.values()) {
             boolean nothingSent =
                     kind == ExchangeResult.Kind.NOT_CONNECTED
