--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -50,7 +50,7 @@
     /**
      * Limits on the connections of clients, in bytes, headers and microseconds as {@link
      * HttpLimits} names them. The platform's request bodies have at most 16 KiB, and its clients
-     * close after 4 s.
+     * close a connection after 4 s.
      */
     private static final HttpLimits HTTP_LIMITS =
             new HttpLimits(
@@ -88,8 +88,8 @@
 
     /**
      * Largest number of correlation ids in the idempotency store, where they are the idempotency
-     * keys: several seconds of more requests than one core serves. While all of them belong to
-     * non-idempotent or keyed requests, new requests are rejected.
+     * keys: more than the requests that one core serves in several seconds. While all of them
+     * belong to non-idempotent or keyed requests, new requests are rejected.
      */
     private static final int MAX_IDEMPOTENCY_KEYS = 16_384;
 
@@ -229,7 +229,10 @@
                 log::logMessage);
     }
 
-    /** Returns null if the settings allow no gossip or the configuration has no address for it. */
+    /**
+     * Opens the gossip socket. Returns null if the settings allow no gossip or the configuration
+     * has no address for it.
+     */
     private GossipSocket openGossip(Controller controller) throws IOException {
         if (!settings.limits().mayGossip() || config.gossipListenAddress() == null) {
             return null;
--- a/src/test/java/waytrestle/platform/PlatformControllerTest.java
+++ b/src/test/java/waytrestle/platform/PlatformControllerTest.java
@@ -359,7 +359,7 @@
             }
         }
         TableSizes last = tableSizes();
-        assertEquals(early.requestsInFlight(), last.requestsInFlight(), "request ids");
+        assertEquals(early.requestsInFlight(), last.requestsInFlight(), "requests in flight");
         assertEquals(early.addresses(), last.addresses(), "addresses");
         assertEquals(early.startTimes(), last.startTimes(), "start times");
         assertEquals(early.invokerClients(), last.invokerClients(), "invoker clients");
