--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -237,7 +237,7 @@
         if (!settings.limits().mayGossip() || config.gossipListenAddress() == null) {
             return null;
         }
-        return GossipSocket.plain(
+        return GossipSocket.openUnframed(
                 loop,
                 settings.controllerIndex(),
                 config.gossipListenAddress(),
