--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -23,10 +23,10 @@
 import waytrestle.config.SecretsFile;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerEnvironment;
-import waytrestle.front.Front;
+import waytrestle.front.FrontEnd;
 import waytrestle.front.Router;
-import waytrestle.front.kserve.KserveFront;
-import waytrestle.front.webhook.WebhookFront;
+import waytrestle.front.kserve.KserveFrontEnd;
+import waytrestle.front.webhook.WebhookFrontEnd;
 import waytrestle.http.HttpServer;
 import waytrestle.http.Problem;
 import waytrestle.metrics.Metrics;
@@ -63,7 +63,7 @@
     private final AtomicInteger exitCode = new AtomicInteger();
     private Controller controller;
     private Router router;
-    private WebhookFront webhookFront;
+    private WebhookFrontEnd webhookFrontEnd;
 
     /** Null if the configuration names no access log. */
     private FileAccessLog accessLog;
@@ -202,19 +202,19 @@
                     name ->
                             config.unknownFunction() != null
                                     || config.functions().containsKey(name);
-            List<Front> fronts = new ArrayList<>();
-            webhookFront =
-                    new WebhookFront(
+            List<FrontEnd> frontEnds = new ArrayList<>();
+            webhookFrontEnd =
+                    new WebhookFrontEnd(
                             config.webhookEndpoints(),
                             config.schedulerSettings().classes(),
                             config.idempotencyBounds().signatureToleranceSeconds(),
                             config.transitMicros(),
                             acceptsFunction,
                             controller);
-            fronts.add(webhookFront);
+            frontEnds.add(webhookFrontEnd);
             if (!config.kserve().tenantByKeyHash().isEmpty()) {
-                fronts.add(
-                        new KserveFront(
+                frontEnds.add(
+                        new KserveFrontEnd(
                                 config.kserve(),
                                 config.schedulerSettings().classes(),
                                 config.functions().keySet(),
@@ -222,7 +222,7 @@
                                 acceptsFunction,
                                 controller));
             }
-            router = new Router(fronts);
+            router = new Router(frontEnds);
             ConnectionGuard connectionGuard = new ConnectionGuard(config);
             server =
                     new HttpServer(
@@ -252,7 +252,7 @@
                     "Messages or connections that never became calls.",
                     out -> {
                         TreeMap<String, Long> countByReason = new TreeMap<>(server.turnedAway());
-                        router.turnedAway()
+                        router.rejectedMessagesByReason()
                                 .forEach(
                                         (reason, count) ->
                                                 countByReason.merge(reason, count, Long::sum));
@@ -409,7 +409,8 @@
     }
 
     /**
-     * Ends the loop once no request is in flight and the linger time is over, or after the grace.
+     * Ends the event loop, after the grace at the latest: before it, once no request is in flight
+     * and either no client connection is open or the linger time is over.
      */
     private void awaitRequestsInFlight(long idleLingerEndMicros, long graceEndMicros) {
         boolean lingering = server.connections() > 0 && Loop.nowMicros() < idleLingerEndMicros;
@@ -452,7 +453,7 @@
         }
         loop.execute(
                 () -> {
-                    webhookFront.secrets(secretsByPath);
+                    webhookFrontEnd.replaceSecrets(secretsByPath);
                     LOG.info("secrets.reloaded endpoints={}", secretsByPath.size());
                 });
         if (accessLog != null) {
--- a/src/main/java/waytrestle/platform/GracefulShutdown.java
+++ b/src/main/java/waytrestle/platform/GracefulShutdown.java
@@ -6,26 +6,26 @@
 import waytrestle.net.Loop;
 
 /**
- * Shuts a controller down: takes requests for as long as clients may still send them, completes
- * those in flight, then stops the event loop.
+ * Shuts a controller down: accepts requests for as long as the platform may still route them to
+ * this controller, completes the requests in flight, then stops the event loop.
  *
  * <p>State is owned by the event loop; {@link #start} may be called from any thread.
  */
 final class GracefulShutdown {
-    /** Time after the signal in which the platform still routes requests here. */
-    private static final long ACCEPT_MICROS = 800_000;
+    /** Time after the shutdown signal in which the platform still routes requests here. */
+    private static final long ACCEPT_DURATION_MICROS = 800_000;
 
-    /** Time between checks of what is still in flight after that. */
-    private static final long IN_FLIGHT_CHECK_MICROS = 10_000;
+    /** Time between checks whether requests are still in flight once new ones are not accepted. */
+    private static final long COMPLETION_CHECK_INTERVAL_MICROS = 10_000;
 
     /**
-     * Time without a request in flight that partial requests, and responses still being read, are
-     * given: as long as a message may take.
+     * Longest wait, from when no request is in flight, for clients that are still sending a request
+     * or still reading a response: as long as one message may take.
      */
-    private static final long PARTIAL_MESSAGE_MICROS = 2_000_000;
+    private static final long PARTIAL_MESSAGE_TIMEOUT_MICROS = 2_000_000;
 
-    /** Time at the end for the last responses to leave. */
-    private static final long FLUSH_MICROS = 100_000;
+    /** Time between the end of the last request and the stop, for the last responses to leave. */
+    private static final long FLUSH_DELAY_MICROS = 100_000;
 
     private final Loop loop;
     private final PlatformFrontEnd frontEnd;
@@ -57,7 +57,7 @@
         started = true;
         frontEnd.startShutdown();
         server.closeAfterResponses();
-        loop.after(ACCEPT_MICROS, this::stopAccepting);
+        loop.after(ACCEPT_DURATION_MICROS, this::stopAccepting);
     }
 
     private void stopAccepting() {
@@ -68,17 +68,18 @@
     }
 
     private void awaitCompletion() {
-        long now = Loop.nowMicros();
-        boolean inFlight = controller.inFlight() > 0;
-        if (inFlight) {
-            lastInFlightMicros = now;
+        long nowMicros = Loop.nowMicros();
+        boolean requestsInFlight = controller.inFlight() > 0;
+        if (requestsInFlight) {
+            lastInFlightMicros = nowMicros;
         }
-        boolean partialMessages =
-                server.busyConnections() > 0 && now - lastInFlightMicros < PARTIAL_MESSAGE_MICROS;
-        if (inFlight || partialMessages) {
-            loop.after(IN_FLIGHT_CHECK_MICROS, this::awaitCompletion);
+        boolean awaitsPartialMessages =
+                server.busyConnections() > 0
+                        && nowMicros - lastInFlightMicros < PARTIAL_MESSAGE_TIMEOUT_MICROS;
+        if (requestsInFlight || awaitsPartialMessages) {
+            loop.after(COMPLETION_CHECK_INTERVAL_MICROS, this::awaitCompletion);
             return;
         }
-        loop.after(FLUSH_MICROS, loop::stop);
+        loop.after(FLUSH_DELAY_MICROS, loop::stop);
     }
 }
