--- a/src/test/java/waytrestle/gateway/ControllerTest.java
+++ b/src/test/java/waytrestle/gateway/ControllerTest.java
@@ -49,8 +49,8 @@
 import waytrestle.scheduler.StartKind;
 
 /**
- * Every kind of scheduler command is carried out, every way an attempt can end reaches the
- * scheduler, and a failed decision is survived.
+ * Tests the controller in a gateway with a scripted scheduler: it executes every kind of scheduler
+ * command, reports every outcome of an attempt, and survives exceptions of the scheduler.
  */
 class ControllerTest {
     private static final String ENDPOINT = "seat-charge";
@@ -58,83 +58,92 @@
     private static final long TIMER_DELAY_MICROS = 1_000;
     private static final int PEER = 1;
 
-    /** First four bytes of a gossip packet. */
+    /** First four bytes of a gossip packet; they spell {@code wtr1} in ASCII. */
     private static final int GOSSIP_MAGIC = 0x77747231;
 
     /** Bytes of a gossip packet before its message: the magic and the sender's number. */
     private static final int GOSSIP_HEADER_BYTES = 8;
 
-    /** Time for an attempt to reach its invoker before it is cancelled or given up. */
+    /** Time after the forwarding of an attempt until the attempt is cancelled or times out. */
     private static final long ATTEMPT_MICROS = 50_000;
 
-    private interface Decision {
-        void on(SchedulerEvent event, Sink commands);
+    private interface ScriptedDecision {
+        void decide(SchedulerEvent event, Sink commands);
     }
 
     private final List<SchedulerEvent> events = Collections.synchronizedList(new ArrayList<>());
 
-    private Controller.SchedulerFactory scripted(Decision decision) {
+    private Controller.SchedulerFactory scriptedScheduler(ScriptedDecision decision) {
         return (settings, seed) ->
                 (now, event, commands) -> {
                     events.add(event);
-                    decision.on(event, commands);
+                    decision.decide(event, commands);
                 };
     }
 
-    private <T extends SchedulerEvent> List<T> received(Class<T> type) {
+    private <T extends SchedulerEvent> List<T> eventsOfType(Class<T> type) {
         synchronized (events) {
             return events.stream().filter(type::isInstance).map(type::cast).toList();
         }
     }
 
-    private static HttpResponse<String> send(GatewayFixture fixture, String id, String function)
-            throws Exception {
-        return fixture.http.send(
-                fixture.signed(ENDPOINT, id, fixture.soon(), GatewayFixture.body(function)).build(),
+    private static HttpResponse<String> send(
+            GatewayFixture fixture, String webhookId, String function) throws Exception {
+        return fixture.client.send(
+                fixture.signedRequest(
+                                ENDPOINT,
+                                webhookId,
+                                fixture.validTimestampSeconds(),
+                                GatewayFixture.requestBody(function))
+                        .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
-    void everyKindOfCommandIsCarriedOut() throws Exception {
+    void everyKindOfSchedulerCommandIsExecuted() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            String invoker = fixture.invokers.get(0);
+            String invoker = fixture.invokerAddresses.get(0);
             fixture.script = ControllerTest::respondToOperation;
             fixture.start(
-                    fixture.text(false),
-                    scripted(
+                    fixture.settingsText(false),
+                    scriptedScheduler(
                             (event, commands) -> {
                                 if (event instanceof RequestReceived request) {
                                     addAllCommands(commands, request.id(), invoker);
                                 }
                             }));
-            assertEquals("ran", fixture.await(ENDPOINT, "m").body());
-            GatewayFixture.until(this::allOperationsCompleted, "the end of each operation");
-            GatewayFixture.until(
-                    () -> fixture.asked.stream().anyMatch(a -> a.path().endsWith("/unload")),
-                    "the unload request");
+            assertEquals("ran", fixture.sendAndWait(ENDPOINT, "m").body());
+            GatewayFixture.waitUntil(
+                    this::allOperationsCompleted,
+                    "two preloads, a health check, a timer and two endpoint lists completed");
+            GatewayFixture.waitUntil(
+                    () ->
+                            fixture.receivedRequests.stream()
+                                    .anyMatch(request -> request.path().endsWith("/unload")),
+                    "an unload request at the invoker");
             assertOperationResults();
             assertRequestEvents();
         }
     }
 
-    private static void respondToOperation(GatewayFixture.Asked asked) {
-        switch (asked.path()) {
+    private static void respondToOperation(GatewayFixture.ReceivedRequest request) {
+        switch (request.path()) {
             case "/v2/repository/index" ->
-                    asked.exchange()
+                    request.exchange()
                             .answer(
                                     200,
                                     "application/json",
                                     "[{\"name\":\"f\",\"state\":\"READY\",\"copies\":2}]"
                                             .getBytes(StandardCharsets.UTF_8));
-            case "/v2/repository/models/f/load" -> respondWithMetric(asked, "copies=3");
-            case "/v2/health/ready" -> respondWithMetric(asked, "queue=9");
-            case "/v2/repository/models/f/unload" -> asked.status(200);
-            default -> asked.ok("ran");
+            case "/v2/repository/models/f/load" -> respondWithMetric(request, "copies=3");
+            case "/v2/health/ready" -> respondWithMetric(request, "queue=9");
+            case "/v2/repository/models/f/unload" -> request.respondWithStatus(200);
+            default -> request.respondWithOutput("ran");
         }
     }
 
-    private static void respondWithMetric(GatewayFixture.Asked asked, String metric) {
-        asked.exchange()
+    private static void respondWithMetric(GatewayFixture.ReceivedRequest request, String metric) {
+        request.exchange()
                 .answer(
                         200,
                         "",
@@ -157,64 +166,72 @@
     }
 
     private boolean allOperationsCompleted() {
-        return received(PreloadCompleted.class).size() == 2
-                && received(HealthCheckCompleted.class).size() == 1
-                && received(TimerExpired.class).size() == 1
-                && received(EndpointsUpdated.class).size() == 2;
+        return eventsOfType(PreloadCompleted.class).size() == 2
+                && eventsOfType(HealthCheckCompleted.class).size() == 1
+                && eventsOfType(TimerExpired.class).size() == 1
+                && eventsOfType(EndpointsUpdated.class).size() == 2;
     }
 
     private void assertOperationResults() {
         List<Integer> instances =
-                received(PreloadCompleted.class).stream()
+                eventsOfType(PreloadCompleted.class).stream()
                         .map(PreloadCompleted::instances)
                         .sorted(Comparator.reverseOrder())
                         .toList();
         assertEquals(List.of(3, 2), instances);
         assertEquals(
-                Map.of("queue", 9.0), received(HealthCheckCompleted.class).get(0).loadReport());
-        assertEquals(TIMER, received(TimerExpired.class).get(0).timer());
-        assertTrue(received(EndpointsUpdated.class).get(1).snapshot(), "the list fetched");
+                Map.of("queue", 9.0), eventsOfType(HealthCheckCompleted.class).get(0).loadReport());
+        assertEquals(TIMER, eventsOfType(TimerExpired.class).get(0).timer());
+        assertTrue(
+                eventsOfType(EndpointsUpdated.class).get(1).snapshot(),
+                "the fetched endpoint list is a snapshot");
     }
 
     private void assertRequestEvents() {
-        AttemptCompleted attempt = received(AttemptCompleted.class).get(0);
+        AttemptCompleted attempt = eventsOfType(AttemptCompleted.class).get(0);
         assertEquals(SchedulerEvent.CONCURRENCY_NOT_REPORTED, attempt.concurrentRequests());
         assertEquals(StartKind.WARM, attempt.start());
         assertTrue(attempt.isFinal());
-        assertEquals(0, received(RequestReceived.class).get(0).tenant());
+        assertEquals(0, eventsOfType(RequestReceived.class).get(0).tenant());
     }
 
     @Test
-    void gossipIsExchangedWithPeersAndDroppedFromStrangers() throws Exception {
+    void gossipIsExchangedWithPeersAndDroppedFromUnknownSenders() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1);
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+                DatagramSocket unknownSender =
+                        new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             peer.setSoTimeout(5_000);
-            String invoker = fixture.invokers.get(0);
+            String invoker = fixture.invokerAddresses.get(0);
             int gossipPort = freePort();
-            byte[] sent = {5, 6};
-            byte[] replied = {7, 8, 9};
+            byte[] sentMessage = {5, 6};
+            byte[] replyMessage = {7, 8, 9};
             fixture.start(
-                    fixture.text(false) + peerSettings(gossipPort, peer.getLocalPort()),
-                    scripted(
+                    fixture.settingsText(false) + peerSettings(gossipPort, peer.getLocalPort()),
+                    scriptedScheduler(
                             (event, commands) -> {
                                 if (event instanceof RequestReceived request) {
-                                    commands.add(new SendGossip(SchedulerCommand.ALL_PEERS, sent));
+                                    commands.add(
+                                            new SendGossip(
+                                                    SchedulerCommand.ALL_PEERS, sentMessage));
                                     commands.add(new ForwardAttempt(request.id(), invoker, 0));
                                 }
                             }));
-            assertEquals("done", fixture.await(ENDPOINT, "m").body());
+            assertEquals("done", fixture.sendAndWait(ENDPOINT, "m").body());
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             peer.receive(packet);
-            assertEquals(GOSSIP_HEADER_BYTES + sent.length, packet.getLength());
-            DatagramPacket reply = gossipPacket(replied, gossipPort);
-            stranger.send(reply);
+            assertEquals(GOSSIP_HEADER_BYTES + sentMessage.length, packet.getLength());
+            DatagramPacket reply = gossipPacket(replyMessage, gossipPort);
+            unknownSender.send(reply);
             peer.send(reply);
-            GatewayFixture.until(
-                    () -> !received(GossipReceived.class).isEmpty(), "the peer's message");
-            assertArrayEquals(replied, received(GossipReceived.class).get(0).message());
+            GatewayFixture.waitUntil(
+                    () -> !eventsOfType(GossipReceived.class).isEmpty(),
+                    "a gossip message from the peer");
+            assertArrayEquals(replyMessage, eventsOfType(GossipReceived.class).get(0).message());
             assertEquals(
-                    1, received(GossipReceived.class).size(), "a stranger's message is dropped");
+                    1,
+                    eventsOfType(GossipReceived.class).size(),
+                    "a message from an unknown sender is dropped");
         }
     }
 
@@ -246,8 +263,11 @@
         }
     }
 
-    /** A way an attempt can end, with its code and the status that the client gets. */
-    private enum Ending {
+    /**
+     * An outcome of an attempt, with the response code that the scheduler gets and the status that
+     * the client gets. The request's function is named after the outcome that it shall have.
+     */
+    private enum AttemptOutcome {
         CANCELLED(ResponseCode.CANCELLED, 502),
         SILENT(ResponseCode.TIMEOUT, 502),
         EXPIRED(ResponseCode.NOT_SENT, 502),
@@ -263,79 +283,83 @@
         private final ResponseCode code;
         private final int clientStatus;
 
-        Ending(ResponseCode code, int clientStatus) {
+        AttemptOutcome(ResponseCode code, int clientStatus) {
             this.code = code;
             this.clientStatus = clientStatus;
         }
 
-        /** Whether the client gets what the function responded, without a problem detail. */
+        /** Returns whether the client gets the function's response instead of a problem detail. */
         private boolean isFunctionResponse() {
             return this == SERVED || this == FUNCTION_ERROR;
         }
     }
 
     @Test
-    void everyWayAnAttemptEndsReachesTheSchedulerByItsCode() throws Exception {
+    void everyAttemptOutcomeReachesTheSchedulerWithItsResponseCode() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            String invoker = fixture.invokers.get(0);
-            Map<Long, Ending> endings = Collections.synchronizedMap(new HashMap<>());
-            Map<Ending, ResponseCode> codes = Collections.synchronizedMap(new HashMap<>());
-            fixture.script = ControllerTest::respondWithEnding;
+            String invoker = fixture.invokerAddresses.get(0);
+            Map<Long, AttemptOutcome> outcomes = Collections.synchronizedMap(new HashMap<>());
+            Map<AttemptOutcome, ResponseCode> codes = Collections.synchronizedMap(new HashMap<>());
+            fixture.script = ControllerTest::respondForOutcome;
             fixture.start(
-                    fixture.text(false),
-                    scripted(
+                    fixture.settingsText(false),
+                    scriptedScheduler(
                             (event, commands) -> {
                                 if (event instanceof RequestReceived request) {
-                                    Ending ending = Ending.valueOf(request.function());
-                                    endings.put(request.id(), ending);
-                                    forward(commands, request.id(), ending, invoker);
+                                    AttemptOutcome outcome =
+                                            AttemptOutcome.valueOf(request.function());
+                                    outcomes.put(request.id(), outcome);
+                                    forward(commands, request.id(), outcome, invoker);
                                 } else if (event instanceof TimerExpired expired
                                         && expired.timer() instanceof RequestDeadline deadline) {
                                     commands.add(new CancelAttempt(deadline.requestId(), 0));
                                 } else if (event instanceof AttemptCompleted attempt) {
-                                    codes.put(endings.get(attempt.id()), attempt.code());
+                                    codes.put(outcomes.get(attempt.id()), attempt.code());
                                     failUnlessFinal(commands, attempt);
                                 }
                             }));
-            Map<Ending, ResponseCode> expectedCodes = new HashMap<>();
-            for (Ending ending : Ending.values()) {
-                expectedCodes.put(ending, ending.code);
-                assertResponse(ending, send(fixture, ending.name(), ending.name()));
+            Map<AttemptOutcome, ResponseCode> expectedCodes = new HashMap<>();
+            for (AttemptOutcome outcome : AttemptOutcome.values()) {
+                expectedCodes.put(outcome, outcome.code);
+                assertResponse(outcome, send(fixture, outcome.name(), outcome.name()));
             }
             assertEquals(expectedCodes, codes);
         }
     }
 
-    private static void respondWithEnding(GatewayFixture.Asked asked) {
-        switch (Ending.valueOf(asked.id().substring(asked.id().indexOf(' ') + 1))) {
-            case SERVED -> asked.ok("fine");
-            case FULL -> asked.status(503);
-            case BUSY -> asked.status(429);
-            case NOT_LOADED -> asked.status(404);
-            case FUNCTION_ERROR -> asked.status(500);
+    private static void respondForOutcome(GatewayFixture.ReceivedRequest request) {
+        switch (AttemptOutcome.valueOf(
+                request.inferenceId().substring(request.inferenceId().indexOf(' ') + 1))) {
+            case SERVED -> request.respondWithOutput("fine");
+            case FULL -> request.respondWithStatus(503);
+            case BUSY -> request.respondWithStatus(429);
+            case NOT_LOADED -> request.respondWithStatus(404);
+            case FUNCTION_ERROR -> request.respondWithStatus(500);
             case MALFORMED ->
-                    asked.exchange()
+                    request.exchange()
                             .answer(
                                     200,
                                     "application/json",
                                     "{\"outputs\"".getBytes(StandardCharsets.UTF_8));
-            case CONNECTION_RESET -> asked.exchange().reset();
+            case CONNECTION_RESET -> request.exchange().reset();
             default -> {
-                // CANCELLED and SILENT get no response; the others do not reach the invoker.
+                // CANCELLED and SILENT get no response; EXPIRED and UNREACHABLE do not reach the
+                // invoker.
             }
         }
     }
 
-    private static void forward(Sink commands, long requestId, Ending ending, String invoker) {
+    private static void forward(
+            Sink commands, long requestId, AttemptOutcome outcome, String invoker) {
         long now = Loop.nowMicros();
-        switch (ending) {
+        switch (outcome) {
             case UNREACHABLE -> commands.add(new ForwardAttempt(requestId, "127.0.0.1:1", 0));
             case SILENT ->
                     commands.add(new ForwardAttempt(requestId, invoker, now + ATTEMPT_MICROS));
             case EXPIRED -> commands.add(new ForwardAttempt(requestId, invoker, 1));
             default -> commands.add(new ForwardAttempt(requestId, invoker, 0));
         }
-        if (ending == Ending.CANCELLED) {
+        if (outcome == AttemptOutcome.CANCELLED) {
             commands.add(new SetTimer(ATTEMPT_MICROS, new RequestDeadline(requestId)));
         }
     }
@@ -346,14 +370,15 @@
         }
     }
 
-    private static void assertResponse(Ending ending, HttpResponse<String> response) {
-        String description = ending + response.body();
-        assertEquals(ending.clientStatus, response.statusCode(), description);
-        boolean harmless = PendingRequests.provesNotRun(ending.code);
+    private static void assertResponse(AttemptOutcome outcome, HttpResponse<String> response) {
+        String description = outcome + response.body();
+        assertEquals(outcome.clientStatus, response.statusCode(), description);
+        boolean provenNotRun = PendingRequests.provesNotRun(outcome.code);
         assertTrue(
-                ending.isFunctionResponse() || response.body().contains("\"harmless\":" + harmless),
+                outcome.isFunctionResponse()
+                        || response.body().contains("\"harmless\":" + provenNotRun),
                 description);
-        if (ending == Ending.FUNCTION_ERROR) {
+        if (outcome == AttemptOutcome.FUNCTION_ERROR) {
             assertEquals("{\"error\":\"x\"}", response.body());
             assertEquals(
                     "false",
@@ -363,12 +388,13 @@
     }
 
     @Test
-    void aFailedDecisionFailsItsRequestAloneAndTooManyStopTheProcess() throws Exception {
+    void schedulerExceptionFailsOnlyItsRequestAndThreeStopTheProcessWhenTwoAreAllowed()
+            throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            String invoker = fixture.invokers.get(0);
+            String invoker = fixture.invokerAddresses.get(0);
             fixture.start(
-                    fixture.text(false).replace("most = 10", "most = 2"),
-                    scripted(
+                    fixture.settingsText(false).replace("most = 10", "most = 2"),
+                    scriptedScheduler(
                             (event, commands) -> {
                                 if (event instanceof RequestReceived request) {
                                     if (request.function().equals("bad")) {
@@ -378,34 +404,36 @@
                                 }
                             }));
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, fixture.await(ENDPOINT, "good" + i).statusCode());
+                assertEquals(200, fixture.sendAndWait(ENDPOINT, "good" + i).statusCode());
                 HttpResponse<String> response = send(fixture, "bad" + i, "bad");
                 assertEquals(500, response.statusCode());
                 assertTrue(
                         response.body().contains("\"harmless\":true"),
-                        "never sent: " + response.body());
+                        "a request that was never forwarded is harmless: " + response.body());
             }
             assertEquals(
-                    3, fixture.gateway.join(10_000), "the third failure exceeds the threshold");
+                    3,
+                    fixture.gateway.join(10_000),
+                    "the third failure exceeds the two allowed and stops the process with code 3");
         }
     }
 
-    /** The pending requests respond before the deadline where the scheduler forgets a request. */
+    /** The controller's pending requests time out even where the scheduler gives no command. */
     @Test
-    void aRequestThatTheSchedulerNeverDecidesIsFailedAtItsDeadline() throws Exception {
+    void requestWithoutSchedulerCommandFailsWith504AtItsDeadline() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             fixture.start(
-                    fixture.text(false)
+                    fixture.settingsText(false)
                             .replace(
                                     "deadline_ms = 5000\nworth = 2",
                                     "deadline_ms = 1300\nworth = 2"),
-                    scripted((event, commands) -> {}));
-            assertEquals(504, fixture.await(ENDPOINT, "m").statusCode());
-            // The response is written before the scheduler hears of it, on another thread than
-            // this.
-            GatewayFixture.until(
-                    () -> !received(RequestAbandoned.class).isEmpty(), "the abandonment");
-            assertEquals(1, received(RequestAbandoned.class).size());
+                    scriptedScheduler((event, commands) -> {}));
+            assertEquals(504, fixture.sendAndWait(ENDPOINT, "m").statusCode());
+            // The controller's thread writes the response before it tells the scheduler.
+            GatewayFixture.waitUntil(
+                    () -> !eventsOfType(RequestAbandoned.class).isEmpty(),
+                    "the scheduler is told that the request was abandoned");
+            assertEquals(1, eventsOfType(RequestAbandoned.class).size());
         }
     }
 }
--- a/src/test/java/waytrestle/gateway/EndpointSourceOutageTest.java
+++ b/src/test/java/waytrestle/gateway/EndpointSourceOutageTest.java
@@ -18,196 +18,239 @@
 import waytrestle.scheduler.FinishTimeScheduler;
 import waytrestle.standin.RosterStandIn;
 
-/** A gateway whose health API goes out of reach while an invoker drains. */
+/**
+ * Tests a gateway whose health API fails while an invoker starts draining, so that the gateway
+ * cannot learn of the draining from its endpoint list.
+ */
 class EndpointSourceOutageTest {
-    /** How the health API goes out of reach, and when that is noticed at the latest. */
-    private enum Loss {
-        ERRORS(0) {
+    /** A way in which the health API fails, with the longest time until the gateway detects it. */
+    private enum OutageKind {
+        ERROR_RESPONSES(0) {
             @Override
             void begin(RosterStandIn roster) {
                 roster.err(true);
             }
         },
-        CLOSED(0) {
+        CONNECTIONS_REFUSED(0) {
             @Override
             void begin(RosterStandIn roster) {
                 roster.down();
             }
         },
-        MUTE(WAIT_MILLIS + RESPONSE_SLACK_MILLIS) {
+        NO_RESPONSES(QUERY_WAIT_MILLIS + QUERY_RESPONSE_SLACK_MILLIS) {
             @Override
             void begin(RosterStandIn roster) {
                 roster.mute(true);
             }
         },
-        /** The list is answered on and on, as it was before the loss. */
-        LEADERLESS(0) {
+        /** Queries get the endpoint list as it was before the outage, without a leader. */
+        NO_LEADER(0) {
             @Override
             void begin(RosterStandIn roster) {
                 roster.leaderless(true);
             }
         };
 
-        private final long noticedAfterMillis;
+        private final long maxDetectionMillis;
 
-        Loss(long noticedAfterMillis) {
-            this.noticedAfterMillis = noticedAfterMillis;
+        OutageKind(long maxDetectionMillis) {
+            this.maxDetectionMillis = maxDetectionMillis;
         }
 
         abstract void begin(RosterStandIn roster);
     }
 
-    private static final long WAIT_MILLIS = 500;
-    private static final long RESPONSE_SLACK_MILLIS = 2_000;
-    private static final long VALID_MILLIS = 500;
-    private static final long GRACE_MILLIS = 500;
+    /** Longest time that the health API holds a blocking query without a change. */
+    private static final long QUERY_WAIT_MILLIS = 500;
 
-    /** As much again as the grace, for a machine that stalls. */
-    private static final long STALL_MILLIS = 500;
+    /** Time that a response may take beyond the wait of its query. */
+    private static final long QUERY_RESPONSE_SLACK_MILLIS = 2_000;
+
+    /** Time after a failed query for which the gateway still uses the endpoint list. */
+    private static final long LIST_VALID_MILLIS = 500;
+
+    /** Time in which a draining invoker may still get requests, as the settings file has it. */
+    private static final long DRAIN_GRACE_MILLIS = 500;
+
+    /** Allowance for a stalling machine, as long as the drain grace. */
+    private static final long STALL_ALLOWANCE_MILLIS = 500;
 
     private static final long OUTAGE_MILLIS = 6_000;
-    private static final long PAUSE_MILLIS = 10;
-    private static final int FUNCTIONS = 24;
+    private static final long REQUEST_INTERVAL_MILLIS = 10;
+    private static final int FUNCTION_COUNT = 24;
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Quiet machines serve all. A loaded one rejects some as crowded, outage or not. A gateway that
-     * stopped at the end of the list's time would serve 0.9 s of the outage, 3.4 s where queries
-     * are never answered.
+     * Least share of the requests sent during the outage that get status 200. An idle machine
+     * serves all of them; a loaded one rejects some for overload, with or without an outage. A
+     * gateway that stopped serving when its endpoint list expires would serve only the first 0.9 s
+     * of the 6 s, or 3.4 s where queries get no response.
      */
-    private static final double LEAST_SERVED_SHARE = 0.8;
+    private static final double MIN_SERVED_SHARE = 0.8;
 
     private static final long WARM_UP_MILLIS = 1_500;
 
-    private volatile String drained = "";
+    private volatile String drainingInvoker = "";
 
     private GatewayFixture start(boolean healthChecks) throws Exception {
         GatewayFixture fixture = new GatewayFixture(3).startRoster();
         fixture.script = this::respond;
         String settings =
-                fixture.text(true)
+                fixture.settingsText(true)
                         .replace("probes = false", "probes = " + healthChecks)
                         .replace(
                                 "\nwait_ms = 10000 ",
                                 "\nwait_ms = "
-                                        + WAIT_MILLIS
+                                        + QUERY_WAIT_MILLIS
                                         + "\nvalid_ms = "
-                                        + VALID_MILLIS
+                                        + LIST_VALID_MILLIS
                                         + " ");
         return fixture.start(settings, FinishTimeScheduler::new);
     }
 
-    private void respond(GatewayFixture.Asked request) {
+    private void respond(GatewayFixture.ReceivedRequest request) {
         boolean isHealthCheck = request.path().equals("/v2/health/ready");
         if (request.path().endsWith("/infer")) {
-            request.ok("done");
+            request.respondWithOutput("done");
         } else {
-            request.status(isHealthCheck && request.invoker().equals(drained) ? 503 : 200);
+            request.respondWithStatus(
+                    isHealthCheck && request.invokerAddress().equals(drainingInvoker) ? 503 : 200);
         }
     }
 
-    private static List<CompletableFuture<HttpResponse<String>>> send(
-            GatewayFixture fixture, String name, long millis) throws Exception {
-        List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
-        long end = Loop.nowMicros() + millis * MICROS_PER_MILLI;
-        while (Loop.nowMicros() < end) {
-            calls.add(call(fixture, name + calls.size(), calls.size() % FUNCTIONS));
-            Thread.sleep(PAUSE_MILLIS);
+    private static List<CompletableFuture<HttpResponse<String>>> sendRequests(
+            GatewayFixture fixture, String idPrefix, long durationMillis) throws Exception {
+        List<CompletableFuture<HttpResponse<String>>> pendingResponses = new ArrayList<>();
+        long endMicros = Loop.nowMicros() + durationMillis * MICROS_PER_MILLI;
+        while (Loop.nowMicros() < endMicros) {
+            pendingResponses.add(
+                    sendRequest(
+                            fixture,
+                            idPrefix + pendingResponses.size(),
+                            pendingResponses.size() % FUNCTION_COUNT));
+            Thread.sleep(REQUEST_INTERVAL_MILLIS);
         }
-        return calls;
+        return pendingResponses;
     }
 
-    private static CompletableFuture<HttpResponse<String>> call(
+    private static CompletableFuture<HttpResponse<String>> sendRequest(
             GatewayFixture fixture, String id, int function) {
-        String body = GatewayFixture.body("f" + function);
-        return fixture.http.sendAsync(
-                fixture.signed("seat-check", id, fixture.soon(), body).build(),
+        String body = GatewayFixture.requestBody("f" + function);
+        return fixture.client.sendAsync(
+                fixture.signedRequest("seat-check", id, fixture.validTimestampSeconds(), body)
+                        .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    private static double servedShare(List<CompletableFuture<HttpResponse<String>>> calls)
-            throws Exception {
+    private static double servedShare(
+            List<CompletableFuture<HttpResponse<String>>> pendingResponses) throws Exception {
         Map<String, Integer> unserved = new TreeMap<>();
         int served = 0;
-        for (CompletableFuture<HttpResponse<String>> call : calls) {
-            HttpResponse<String> response = call.get();
+        for (CompletableFuture<HttpResponse<String>> pending : pendingResponses) {
+            HttpResponse<String> response = pending.get();
             if (response.statusCode() == 200) {
                 served++;
             } else {
                 unserved.merge(response.body(), 1, Integer::sum);
             }
         }
-        System.out.println("served " + served + " of " + calls.size() + ", others " + unserved);
-        return served / (double) calls.size();
+        System.out.println(
+                "served "
+                        + served
+                        + " of "
+                        + pendingResponses.size()
+                        + ", other responses "
+                        + unserved);
+        return served / (double) pendingResponses.size();
     }
 
-    private static long sentTo(GatewayFixture fixture, String invoker, long afterMicros) {
-        return fixture.asked.stream()
-                .filter(each -> each.invoker().equals(invoker) && each.at() > afterMicros)
-                .filter(each -> !each.path().equals("/v2/health/ready"))
+    private static long countRequestsTo(GatewayFixture fixture, String invoker, long afterMicros) {
+        return fixture.receivedRequests.stream()
+                .filter(
+                        request ->
+                                request.invokerAddress().equals(invoker)
+                                        && request.receivedAtMicros() > afterMicros)
+                .filter(request -> !request.path().equals("/v2/health/ready"))
                 .count();
     }
 
     @ParameterizedTest
-    @EnumSource(Loss.class)
-    void nothingNewIsSentToAnInvokerThatDrainsUnheardAndServiceGoesOn(Loss loss) throws Exception {
+    @EnumSource(OutageKind.class)
+    void invokerThatDrainsDuringAnOutageGetsNoRequestsAfterTheGraceAndTheOthersServe(
+            OutageKind outage) throws Exception {
         try (GatewayFixture fixture = start(true)) {
-            send(fixture, "before", WARM_UP_MILLIS);
-            drained = fixture.invokers.get(0);
-            AtomicLong lostAt = new AtomicLong();
-            fixture.loop.execute(
+            sendRequests(fixture, "before", WARM_UP_MILLIS);
+            drainingInvoker = fixture.invokerAddresses.get(0);
+            AtomicLong outageStartMicros = new AtomicLong();
+            fixture.eventLoop.execute(
                     () -> {
-                        loss.begin(fixture.roster);
-                        lostAt.set(Loop.nowMicros());
+                        outage.begin(fixture.roster);
+                        outageStartMicros.set(Loop.nowMicros());
                     });
-            double served = servedShare(send(fixture, "during", OUTAGE_MILLIS));
-            long limitMillis = loss.noticedAfterMillis + WAIT_MILLIS + VALID_MILLIS + GRACE_MILLIS;
-            long late =
-                    sentTo(
+            double servedShare = servedShare(sendRequests(fixture, "during", OUTAGE_MILLIS));
+            long stopLimitMillis =
+                    outage.maxDetectionMillis
+                            + QUERY_WAIT_MILLIS
+                            + LIST_VALID_MILLIS
+                            + DRAIN_GRACE_MILLIS;
+            long lateRequests =
+                    countRequestsTo(
                             fixture,
-                            drained,
-                            lostAt.get() + (limitMillis + STALL_MILLIS) * MICROS_PER_MILLI);
-            System.out.printf("health API %s: late %d, served %.3f%n", loss, late, served);
-            assertTrue(sentTo(fixture, drained, 0) > 0, "it was used before");
-            assertEquals(0, late);
-            assertTrue(served >= LEAST_SERVED_SHARE, "served " + served);
-            assertTrue(isLost(fixture));
+                            drainingInvoker,
+                            outageStartMicros.get()
+                                    + (stopLimitMillis + STALL_ALLOWANCE_MILLIS)
+                                            * MICROS_PER_MILLI);
+            System.out.printf(
+                    "health API %s: late requests %d, served share %.3f%n",
+                    outage, lateRequests, servedShare);
+            assertTrue(
+                    countRequestsTo(fixture, drainingInvoker, 0) > 0,
+                    "the draining invoker had requests before");
+            assertEquals(0, lateRequests);
+            assertTrue(servedShare >= MIN_SERVED_SHARE, "served share " + servedShare);
+            assertTrue(isEndpointListLost(fixture));
         }
     }
 
     @Test
-    void whereHealthMayNotBeCheckedCallsAreRejectedAtOnceUntilTheListIsBack() throws Exception {
+    void expiredListWithoutHealthChecksRejectsRequestsWith503UntilTheListReturns()
+            throws Exception {
         try (GatewayFixture fixture = start(false)) {
-            fixture.loop.execute(fixture.roster::down);
-            send(fixture, "before", VALID_MILLIS + GRACE_MILLIS + STALL_MILLIS);
-            long expiredAt = Loop.nowMicros();
-            HttpResponse<String> rejected = fixture.await("seat-check", "during");
+            fixture.eventLoop.execute(fixture.roster::down);
+            sendRequests(
+                    fixture,
+                    "before",
+                    LIST_VALID_MILLIS + DRAIN_GRACE_MILLIS + STALL_ALLOWANCE_MILLIS);
+            long listExpiredAtMicros = Loop.nowMicros();
+            HttpResponse<String> rejected = fixture.sendAndWait("seat-check", "during");
             assertEquals(503, rejected.statusCode());
             assertTrue(rejected.headers().firstValue("retry-after").isPresent());
-            for (String invoker : fixture.invokers) {
-                assertEquals(0, sentTo(fixture, invoker, expiredAt));
+            for (String invoker : fixture.invokerAddresses) {
+                assertEquals(0, countRequestsTo(fixture, invoker, listExpiredAtMicros));
             }
-            fixture.loop.execute(fixture.roster::restart);
-            GatewayFixture.until(() -> !isLost(fixture), "the list after the restart");
-            assertEquals(200, fixture.await("seat-check", "after").statusCode());
+            fixture.eventLoop.execute(fixture.roster::restart);
+            GatewayFixture.waitUntil(
+                    () -> !isEndpointListLost(fixture),
+                    "the endpoint list after the restart of the health API");
+            assertEquals(200, fixture.sendAndWait("seat-check", "after").statusCode());
         }
     }
 
     @Test
-    void aListIsNotLostByQueriesThatEndWithoutAChange() throws Exception {
+    void queriesThatEndWithoutAChangeKeepTheListValidWithoutHealthChecks() throws Exception {
         try (GatewayFixture fixture = start(true)) {
-            double served = servedShare(send(fixture, "quiet", 4 * WAIT_MILLIS));
-            assertTrue(served >= LEAST_SERVED_SHARE, "served " + served);
-            assertFalse(isLost(fixture));
+            double servedShare = servedShare(sendRequests(fixture, "quiet", 4 * QUERY_WAIT_MILLIS));
+            assertTrue(servedShare >= MIN_SERVED_SHARE, "served share " + servedShare);
+            assertFalse(isEndpointListLost(fixture));
             assertTrue(
-                    fixture.asked.stream()
-                            .noneMatch(each -> each.path().equals("/v2/health/ready")));
+                    fixture.receivedRequests.stream()
+                            .noneMatch(request -> request.path().equals("/v2/health/ready")));
         }
     }
 
-    private static boolean isLost(GatewayFixture fixture) {
+    private static boolean isEndpointListLost(GatewayFixture fixture) {
         try {
-            return fixture.page("/metrics").body().contains("\nwaytrestle_roster_lost 1");
+            return fixture.fetchAdminPage("/metrics").body().contains("\nwaytrestle_roster_lost 1");
         } catch (Exception e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/waytrestle/gateway/GatewayTest.java
+++ b/src/test/java/waytrestle/gateway/GatewayTest.java
@@ -23,122 +23,158 @@
 import waytrestle.net.Loop;
 import waytrestle.scheduler.FinishTimeScheduler;
 
-/** The whole path over sockets, with the troubles it is built for. */
+/**
+ * Tests webhook requests through a whole gateway over sockets, with faults of clients, of invokers,
+ * of the health API and of the wall clock.
+ */
 class GatewayTest {
-    private static String header(HttpResponse<String> r, String name) {
-        return r.headers().firstValue(name).orElse("");
+    private static String header(HttpResponse<String> response, String name) {
+        return response.headers().firstValue(name).orElse("");
     }
 
     @Test
-    void aSignedCallIsRunAndItsAnswerComesBack() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2).start()) {
-            HttpResponse<String> r = bed.await("seat-check", "m1");
-            assertEquals(200, r.statusCode());
-            assertEquals("done", r.body());
-            assertEquals("text/plain", header(r, "content-type"));
-            assertEquals(1, bed.infers().size());
-            assertEquals(GatewayFixture.body("f"), new String(bed.infers().get(0).payload()));
-            assertEquals("/v2/models/f/infer", bed.infers().get(0).path());
-            String metrics = bed.page("/metrics").body();
+    void signedRequestIsExecutedAndItsOutputIsReturned() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2).start()) {
+            HttpResponse<String> response = fixture.sendAndWait("seat-check", "m1");
+            assertEquals(200, response.statusCode());
+            assertEquals("done", response.body());
+            assertEquals("text/plain", header(response, "content-type"));
+            assertEquals(1, fixture.inferRequests().size());
+            assertEquals(
+                    GatewayFixture.requestBody("f"),
+                    new String(fixture.inferRequests().get(0).payload()));
+            assertEquals("/v2/models/f/infer", fixture.inferRequests().get(0).path());
+            String metrics = fixture.fetchAdminPage("/metrics").body();
             assertTrue(
                     metrics.contains(
                             "waytrestle_calls_total{class=\"seat-check\",end=\"served\"} 1"),
                     metrics);
             assertTrue(metrics.contains("waytrestle_attempts_total{code=\"OK\"} 1"));
-            assertEquals(404, bed.page("/other").statusCode());
+            assertEquals(404, fixture.fetchAdminPage("/other").statusCode());
         }
     }
 
     @Test
-    void whatIsNoProperCallIsTurnedAwayWithItsReason() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(1)) {
-            bed.start(
-                    bed.text(false).replace("accept = true", "accept = false"),
+    void invalidRequestsAreRefusedWithTheirStatusAndProblemTypeAndNotForwarded() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(1)) {
+            fixture.start(
+                    fixture.settingsText(false).replace("accept = true", "accept = false"),
                     FinishTimeScheduler::new);
-            long now = bed.soon();
-            String body = GatewayFixture.body("charge");
+            long timestampSeconds = fixture.validTimestampSeconds();
+            String body = GatewayFixture.requestBody("charge");
             Map<HttpRequest, String> cases =
                     Map.of(
-                            bed.signed("none", "a", now, body).build(),
+                            fixture.signedRequest("none", "a", timestampSeconds, body).build(),
                             "404",
-                            bed.signed("seat-check", "a", now, body).GET().build(),
+                            fixture.signedRequest("seat-check", "a", timestampSeconds, body)
+                                    .GET()
+                                    .build(),
                             "405",
-                            bed.signed("seat-check", "a", now, body)
+                            fixture.signedRequest("seat-check", "a", timestampSeconds, body)
                                     .setHeader("webhook-id", " ")
                                     .build(),
                             "400 unsigned",
-                            bed.signed("seat-check", "a", now, body)
+                            fixture.signedRequest("seat-check", "a", timestampSeconds, body)
                                     .setHeader("webhook-timestamp", "soon")
                                     .build(),
                             "400 unsigned",
-                            bed.signed("seat-check", "a", now - 400, body).build(),
+                            fixture.signedRequest("seat-check", "a", timestampSeconds - 400, body)
+                                    .build(),
                             "401 timestamp",
-                            bed.signed("seat-check", "a", now + 400, body).build(),
+                            fixture.signedRequest("seat-check", "a", timestampSeconds + 400, body)
+                                    .build(),
                             "401 timestamp",
-                            bed.signed("seat-check", "a", now, body)
+                            fixture.signedRequest("seat-check", "a", timestampSeconds, body)
                                     .setHeader("webhook-id", "b")
                                     .build(),
                             "401 signature",
-                            bed.signed("seat-check", "a", now, "{}").build(),
+                            fixture.signedRequest("seat-check", "a", timestampSeconds, "{}")
+                                    .build(),
                             "400 function",
-                            bed.signed("seat-check", "a", now, GatewayFixture.body("../x")).build(),
+                            fixture.signedRequest(
+                                            "seat-check",
+                                            "a",
+                                            timestampSeconds,
+                                            GatewayFixture.requestBody("../x"))
+                                    .build(),
                             "400 function",
-                            bed.signed("seat-check", "a", now, GatewayFixture.body("other"))
+                            fixture.signedRequest(
+                                            "seat-check",
+                                            "a",
+                                            timestampSeconds,
+                                            GatewayFixture.requestBody("other"))
                                     .build(),
                             "404 unknown-function");
-            for (Map.Entry<HttpRequest, String> each : cases.entrySet()) {
-                HttpResponse<String> r =
-                        bed.http.send(each.getKey(), HttpResponse.BodyHandlers.ofString());
-                String[] wanted = each.getValue().split(" ");
+            for (Map.Entry<HttpRequest, String> refusedCase : cases.entrySet()) {
+                HttpResponse<String> response =
+                        fixture.client.send(
+                                refusedCase.getKey(), HttpResponse.BodyHandlers.ofString());
+                String[] statusAndProblem = refusedCase.getValue().split(" ");
                 assertEquals(
-                        wanted[0],
-                        Integer.toString(r.statusCode()),
-                        each.getKey().uri() + r.body());
+                        statusAndProblem[0],
+                        Integer.toString(response.statusCode()),
+                        refusedCase.getKey().uri() + response.body());
                 assertTrue(
-                        wanted.length == 1 || r.body().contains("problem:" + wanted[1]), r.body());
-                assertEquals("application/problem+json", header(r, "content-type"));
+                        statusAndProblem.length == 1
+                                || response.body().contains("problem:" + statusAndProblem[1]),
+                        response.body());
+                assertEquals("application/problem+json", header(response, "content-type"));
             }
-            assertEquals(List.of(), bed.infers());
+            assertEquals(List.of(), fixture.inferRequests());
         }
     }
 
     @Test
-    void aReplayWhileOpenJoinsAndAfterItsEndIsGivenTheSame() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2).start()) {
-            List<GatewayFixture.Asked> held = new ArrayList<>();
-            bed.script = held::add;
+    void repeatsDuringAndAfterARequestGetItsOutcomeWithoutASecondAttempt() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2).start()) {
+            List<GatewayFixture.ReceivedRequest> heldRequests = new ArrayList<>();
+            fixture.script = heldRequests::add;
             HttpRequest request =
-                    bed.signed("seat-charge", "m1", bed.soon(), GatewayFixture.body("f")).build();
-            List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
+                    fixture.signedRequest(
+                                    "seat-charge",
+                                    "m1",
+                                    fixture.validTimestampSeconds(),
+                                    GatewayFixture.requestBody("f"))
+                            .build();
+            List<CompletableFuture<HttpResponse<String>>> pendingResponses = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                all.add(bed.http.sendAsync(request, HttpResponse.BodyHandlers.ofString()));
+                pendingResponses.add(
+                        fixture.client.sendAsync(request, HttpResponse.BodyHandlers.ofString()));
             }
-            GatewayFixture.until(() -> bed.infers().size() == 1, "the attempt");
-            GatewayFixture.until(
-                    () -> metric(bed, "waytrestle_connections") >= 5, "five connections");
-            bed.loop.execute(() -> held.get(0).ok("once"));
-            for (CompletableFuture<HttpResponse<String>> each : all) {
-                assertEquals("once", each.get().body());
+            GatewayFixture.waitUntil(
+                    () -> fixture.inferRequests().size() == 1, "one attempt at the invoker");
+            GatewayFixture.waitUntil(
+                    () -> metricValue(fixture, "waytrestle_connections") >= 5,
+                    "five client connections");
+            fixture.eventLoop.execute(() -> heldRequests.get(0).respondWithOutput("once"));
+            for (CompletableFuture<HttpResponse<String>> pending : pendingResponses) {
+                assertEquals("once", pending.get().body());
             }
             assertEquals(
-                    "once", bed.http.send(request, HttpResponse.BodyHandlers.ofString()).body());
-            assertEquals(1, bed.infers().size(), "never a second attempt");
-            HttpResponse<String> other =
-                    bed.http.send(
-                            bed.signed("seat-charge", "m1", bed.soon(), GatewayFixture.body("g"))
+                    "once",
+                    fixture.client.send(request, HttpResponse.BodyHandlers.ofString()).body());
+            assertEquals(1, fixture.inferRequests().size(), "repeats cause no second attempt");
+            HttpResponse<String> otherBodyResponse =
+                    fixture.client.send(
+                            fixture.signedRequest(
+                                            "seat-charge",
+                                            "m1",
+                                            fixture.validTimestampSeconds(),
+                                            GatewayFixture.requestBody("g"))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            assertEquals(422, other.statusCode());
+            assertEquals(422, otherBodyResponse.statusCode());
         }
     }
 
-    private static double metric(GatewayFixture bed, String name) {
+    /** Returns the value of a metric without labels; -1 where the gateway does not export it. */
+    private static double metricValue(GatewayFixture fixture, String name) {
         try {
-            return bed.page("/metrics")
+            return fixture.fetchAdminPage("/metrics")
                     .body()
                     .lines()
-                    .filter(l -> l.startsWith(name + " "))
-                    .mapToDouble(l -> Double.parseDouble(l.substring(name.length() + 1)))
+                    .filter(line -> line.startsWith(name + " "))
+                    .mapToDouble(line -> Double.parseDouble(line.substring(name.length() + 1)))
                     .findFirst()
                     .orElse(-1);
         } catch (Exception e) {
@@ -147,323 +183,397 @@
     }
 
     @Test
-    void afterARestartWhatWasSignedBeforeItIsNotRunAgainUnlessSafe() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2)) {
-            AtomicLong wall = new AtomicLong(System.currentTimeMillis());
-            bed.wall = wall::get;
-            bed.start();
-            HttpRequest.Builder[] signed = {
-                bed.signed("seat-charge", "m", bed.soon(), GatewayFixture.body("f")),
-                bed.signed("seat-check", "m", bed.soon(), GatewayFixture.body("f"))
+    void requestSignedBeforeARestartIsRefusedWith409IfUnsafeAndExecutedAgainIfSafe()
+            throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2)) {
+            AtomicLong wallClock = new AtomicLong(System.currentTimeMillis());
+            fixture.wallClockMillis = wallClock::get;
+            fixture.start();
+            HttpRequest.Builder[] signedRequests = {
+                fixture.signedRequest(
+                        "seat-charge",
+                        "m",
+                        fixture.validTimestampSeconds(),
+                        GatewayFixture.requestBody("f")),
+                fixture.signedRequest(
+                        "seat-check",
+                        "m",
+                        fixture.validTimestampSeconds(),
+                        GatewayFixture.requestBody("f"))
             };
-            for (HttpRequest.Builder each : signed) {
+            for (HttpRequest.Builder request : signedRequests) {
                 assertEquals(
                         200,
-                        bed.http
-                                .send(each.build(), HttpResponse.BodyHandlers.ofString())
+                        fixture.client
+                                .send(request.build(), HttpResponse.BodyHandlers.ofString())
                                 .statusCode());
             }
-            String before = ":" + bed.gateway.port() + "/";
-            bed.gateway.kill();
-            bed.gateway.join(5_000);
-            wall.addAndGet(10_000);
-            bed.start();
-            int[] expected = {409, 200};
+            String oldPort = ":" + fixture.gateway.port() + "/";
+            fixture.gateway.kill();
+            fixture.gateway.join(5_000);
+            wallClock.addAndGet(10_000);
+            fixture.start();
+            int[] expectedStatuses = {409, 200};
             for (int i = 0; i < 2; i++) {
-                HttpRequest again =
-                        signed[i]
+                HttpRequest repeat =
+                        signedRequests[i]
                                 .uri(
                                         URI.create(
-                                                signed[i]
+                                                signedRequests[i]
                                                         .build()
                                                         .uri()
                                                         .toString()
                                                         .replace(
-                                                                before,
-                                                                ":" + bed.gateway.port() + "/")))
+                                                                oldPort,
+                                                                ":"
+                                                                        + fixture.gateway.port()
+                                                                        + "/")))
                                 .build();
-                HttpResponse<String> r = bed.http.send(again, HttpResponse.BodyHandlers.ofString());
-                assertEquals(expected[i], r.statusCode(), r.body());
+                HttpResponse<String> response =
+                        fixture.client.send(repeat, HttpResponse.BodyHandlers.ofString());
+                assertEquals(expectedStatuses[i], response.statusCode(), response.body());
             }
-            assertEquals(3, bed.infers().size());
+            assertEquals(3, fixture.inferRequests().size());
             assertEquals(
-                    200, bed.await("seat-charge", "later").statusCode(), "signed after the start");
+                    200,
+                    fixture.sendAndWait("seat-charge", "later").statusCode(),
+                    "a request signed after the restart is executed");
         }
     }
 
     @Test
-    void aDrainToldMidCallLeavesNothingNewAfterItsGrace() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(3).startRoster().start()) {
-            AtomicLong toldAt = new AtomicLong(Long.MAX_VALUE);
-            AtomicInteger answered = new AtomicInteger();
-            bed.script =
-                    a -> {
-                        if (a.path().endsWith("/infer")) {
-                            bed.loop.after(20_000, () -> a.ok("done"));
+    void drainingInvokerGetsNoRequestsAfterTheGraceAndAllRequestsAreServed() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(3).startRoster().start()) {
+            AtomicLong drainedAtMicros = new AtomicLong(Long.MAX_VALUE);
+            AtomicInteger served = new AtomicInteger();
+            fixture.script =
+                    received -> {
+                        if (received.path().endsWith("/infer")) {
+                            fixture.eventLoop.after(
+                                    20_000, () -> received.respondWithOutput("done"));
                         } else {
-                            a.status(200);
+                            received.respondWithStatus(200);
                         }
                     };
-            String drained = bed.invokers.get(0);
-            int calls = 1_000;
-            long began = Loop.nowMicros();
-            List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
-            for (int i = 0; i < calls; i++) { // 500 calls a second
-                while (Loop.nowMicros() < began + i * 2_000L) {
+            String drainingInvoker = fixture.invokerAddresses.get(0);
+            int requestCount = 1_000;
+            long startedAtMicros = Loop.nowMicros();
+            List<CompletableFuture<HttpResponse<String>>> pendingResponses = new ArrayList<>();
+            for (int i = 0; i < requestCount; i++) { // 500 requests a second
+                while (Loop.nowMicros() < startedAtMicros + i * 2_000L) {
                     Thread.sleep(1);
                 }
                 if (i == 300) {
-                    bed.loop.execute(() -> toldAt.set(Loop.nowMicros()));
-                    bed.list(drained, "critical");
+                    fixture.eventLoop.execute(() -> drainedAtMicros.set(Loop.nowMicros()));
+                    fixture.setInvokerState(drainingInvoker, "critical");
                 }
-                all.add(
-                        bed.http.sendAsync(
-                                bed.signed(
+                pendingResponses.add(
+                        fixture.client.sendAsync(
+                                fixture.signedRequest(
                                                 "seat-check",
                                                 "m" + i,
-                                                bed.soon(),
-                                                GatewayFixture.body("f" + i % 7))
+                                                fixture.validTimestampSeconds(),
+                                                GatewayFixture.requestBody("f" + i % 7))
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString()));
             }
-            for (CompletableFuture<HttpResponse<String>> each : all) {
-                answered.addAndGet(each.get().statusCode() == 200 ? 1 : 0);
+            for (CompletableFuture<HttpResponse<String>> pending : pendingResponses) {
+                served.addAndGet(pending.get().statusCode() == 200 ? 1 : 0);
             }
-            assertEquals(calls, answered.get());
-            long late =
-                    bed.asked.stream()
+            assertEquals(requestCount, served.get());
+            long lateRequests =
+                    fixture.receivedRequests.stream()
                             .filter(
-                                    a ->
-                                            a.invoker().equals(drained)
-                                                    && a.at() > toldAt.get() + 1_000_000)
+                                    received ->
+                                            received.invokerAddress().equals(drainingInvoker)
+                                                    && received.receivedAtMicros()
+                                                            > drainedAtMicros.get() + 1_000_000)
                             .count();
             assertEquals(
                     0,
-                    late,
-                    "calls and orders past the grace, with as much again for a stalling machine");
+                    lateRequests,
+                    "requests and preloads later than 1 s: a drain grace of 0.5 s and 0.5 s for a"
+                            + " stalling machine");
             assertTrue(
-                    bed.asked.stream().anyMatch(a -> a.invoker().equals(drained)),
-                    "it was used before");
+                    fixture.receivedRequests.stream()
+                            .anyMatch(
+                                    received -> received.invokerAddress().equals(drainingInvoker)),
+                    "the draining invoker had requests before");
         }
     }
 
     @Test
-    void aResetAfterTheCallWasWrittenIsResentOnlyWhereTheClassAllows() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(6).start()) {
-            bed.script =
-                    a -> {
-                        if (a.attempt() == 0) {
-                            a.exchange().reset();
+    void resetAttemptIsRetriedForSafeAndKeyedRequestsButNotForUnsafeOnes() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(6).start()) {
+            fixture.script =
+                    received -> {
+                        if (received.attemptNumber() == 0) {
+                            received.exchange().reset();
                         } else {
-                            a.ok("second");
+                            received.respondWithOutput("second");
                         }
                     };
-            HttpResponse<String> safe = bed.await("seat-check", "safe");
-            assertEquals("second", safe.body());
-            assertEquals(200, bed.await("order-change", "keyed").statusCode());
-            List<GatewayFixture.Asked> keyed =
-                    bed.infers().stream().filter(a -> a.id().endsWith(" keyed")).toList();
-            assertEquals(2, keyed.size());
+            HttpResponse<String> safeResponse = fixture.sendAndWait("seat-check", "safe");
+            assertEquals("second", safeResponse.body());
+            assertEquals(200, fixture.sendAndWait("order-change", "keyed").statusCode());
+            List<GatewayFixture.ReceivedRequest> keyedRequests =
+                    fixture.inferRequests().stream()
+                            .filter(received -> received.inferenceId().endsWith(" keyed"))
+                            .toList();
+            assertEquals(2, keyedRequests.size());
             assertEquals(
-                    bed.invokers.indexOf(keyed.get(0).invoker()) % 2,
-                    bed.invokers.indexOf(keyed.get(1).invoker()) % 2,
-                    "within the group that drops repeats");
-            HttpResponse<String> unsafe = bed.await("seat-charge", "unsafe");
-            assertEquals(502, unsafe.statusCode());
-            assertTrue(unsafe.body().contains("\"harmless\":false"), unsafe.body());
-            assertEquals(unsafe.body(), bed.await("seat-charge", "unsafe").body(), "given again");
-            assertEquals(1, bed.infers().stream().filter(a -> a.id().endsWith(" unsafe")).count());
+                    fixture.invokerAddresses.indexOf(keyedRequests.get(0).invokerAddress()) % 2,
+                    fixture.invokerAddresses.indexOf(keyedRequests.get(1).invokerAddress()) % 2,
+                    "the retry goes to an invoker of the same deduplication group, a cell");
+            HttpResponse<String> unsafeResponse = fixture.sendAndWait("seat-charge", "unsafe");
+            assertEquals(502, unsafeResponse.statusCode());
+            assertTrue(unsafeResponse.body().contains("\"harmless\":false"), unsafeResponse.body());
+            assertEquals(
+                    unsafeResponse.body(),
+                    fixture.sendAndWait("seat-charge", "unsafe").body(),
+                    "the repeat gets the same outcome");
+            assertEquals(
+                    1,
+                    fixture.inferRequests().stream()
+                            .filter(received -> received.inferenceId().endsWith(" unsafe"))
+                            .count());
         }
     }
 
     @Test
-    void anInvokerThatCannotBeReachedCostsAnUnsafeCallNothing() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(3)) {
-            bed.loop.execute(() -> bed.servers.subList(0, 2).forEach(HttpServerKill::kill));
+    void unsafeRequestsAreServedByAnotherInvokerWhenTheConnectionIsRefused() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(3)) {
+            fixture.eventLoop.execute(
+                    () -> fixture.invokerServers.subList(0, 2).forEach(ServerKiller::kill));
             Thread.sleep(50);
-            bed.start();
+            fixture.start();
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, bed.await("seat-charge", "m" + i).statusCode());
+                assertEquals(200, fixture.sendAndWait("seat-charge", "m" + i).statusCode());
             }
-            assertEquals(5, bed.infers().size());
+            assertEquals(5, fixture.inferRequests().size());
         }
     }
 
-    private static final class HttpServerKill {
-        static void kill(HttpServer s) {
-            s.kill();
+    private static final class ServerKiller {
+        static void kill(HttpServer server) {
+            server.kill();
         }
     }
 
     @Test
-    void fullAndMissedAttemptsAreProvedNotToHaveRunAndMoveOn() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(3).start()) {
-            AtomicInteger n = new AtomicInteger();
-            bed.script =
-                    a -> {
-                        if (n.getAndIncrement() == 0) {
-                            a.status(503);
+    void unsafeRequestIsRetriedAfterAFullInvokerAnswers503() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(3).start()) {
+            AtomicInteger receivedCount = new AtomicInteger();
+            fixture.script =
+                    received -> {
+                        if (receivedCount.getAndIncrement() == 0) {
+                            received.respondWithStatus(503);
                         } else {
-                            a.ok("moved");
+                            received.respondWithOutput("moved");
                         }
                     };
-            assertEquals("moved", bed.await("seat-charge", "m").body());
-            assertEquals(2, bed.infers().size());
+            assertEquals("moved", fixture.sendAndWait("seat-charge", "m").body());
+            assertEquals(2, fixture.inferRequests().size());
         }
     }
 
     @Test
-    void aClientThatHangsUpEndsItsAttempt() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(1).start()) {
-            AtomicBoolean closed = new AtomicBoolean();
-            bed.script = a -> a.exchange().onClientDisconnect(() -> closed.set(true));
-            String body = GatewayFixture.body("f");
-            String at = Long.toString(bed.soon());
-            try (Socket s = new Socket("127.0.0.1", bed.gateway.port())) {
-                s.getOutputStream()
+    void clientDisconnectCancelsTheAttemptAndARepeatIsANewRequest() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(1).start()) {
+            AtomicBoolean attemptCancelled = new AtomicBoolean();
+            fixture.script =
+                    received ->
+                            received.exchange()
+                                    .onClientDisconnect(() -> attemptCancelled.set(true));
+            String body = GatewayFixture.requestBody("f");
+            String timestampSeconds = Long.toString(fixture.validTimestampSeconds());
+            try (Socket socket = new Socket("127.0.0.1", fixture.gateway.port())) {
+                socket.getOutputStream()
                         .write(
                                 ("POST /hooks/seat-check HTTP/1.1\r\nHost: x\r\nwebhook-id: m\r\n"
                                                 + "webhook-timestamp: "
-                                                + at
+                                                + timestampSeconds
                                                 + "\r\nwebhook-signature: "
                                                 + Signatures.sign(
-                                                        GatewayFixture.SECRET,
+                                                        GatewayFixture.WEBHOOK_SECRET,
                                                         "m",
-                                                        at,
+                                                        timestampSeconds,
                                                         body.getBytes())
                                                 + "\r\nContent-Length: "
                                                 + body.length()
                                                 + "\r\n\r\n"
                                                 + body)
                                         .getBytes());
-                GatewayFixture.until(() -> bed.infers().size() == 1, "the attempt");
+                GatewayFixture.waitUntil(
+                        () -> fixture.inferRequests().size() == 1, "one attempt at the invoker");
             }
-            GatewayFixture.until(closed::get, "the cancel at the invoker");
-            GatewayFixture.until(() -> metric(bed, "waytrestle_open_calls") == 0, "an empty desk");
-            bed.script = a -> a.ok("new");
+            GatewayFixture.waitUntil(
+                    attemptCancelled::get, "the attempt is cancelled at the invoker");
+            GatewayFixture.waitUntil(
+                    () -> metricValue(fixture, "waytrestle_open_calls") == 0,
+                    "no request in flight");
+            fixture.script = received -> received.respondWithOutput("new");
             assertEquals(
-                    "new", bed.await("seat-check", "m").body(), "safe: its repeat is a new call");
+                    "new",
+                    fixture.sendAndWait("seat-check", "m").body(),
+                    "the repeat of an abandoned safe request is a new request");
         }
     }
 
     @Test
-    void stopAnswersEveryOpenCallWithinItsGrace() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2)) {
-            bed.start(
-                    bed.text(false).replace("grace_ms = 10000", "grace_ms = 3000"),
+    void stopAnswersEveryRequestInFlightWithinItsGracePeriod() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2)) {
+            fixture.start(
+                    fixture.settingsText(false).replace("grace_ms = 10000", "grace_ms = 3000"),
                     FinishTimeScheduler::new);
-            bed.script =
-                    a -> {
-                        if (a.id().endsWith("quick")) {
-                            bed.loop.after(200_000, () -> a.ok("done"));
+            fixture.script =
+                    received -> {
+                        if (received.inferenceId().endsWith("quick")) {
+                            fixture.eventLoop.after(
+                                    200_000, () -> received.respondWithOutput("done"));
                         }
                     };
-            CompletableFuture<HttpResponse<String>> quick = bed.call("seat-check", "quick");
-            CompletableFuture<HttpResponse<String>> stuckSafe = bed.call("seat-check", "stuck");
-            CompletableFuture<HttpResponse<String>> stuckUnsafe = bed.call("seat-charge", "stuck");
-            GatewayFixture.until(() -> bed.infers().size() == 3, "three attempts");
-            bed.gateway.stop();
-            assertEquals(200, quick.get().statusCode());
-            assertEquals(503, stuckSafe.get().statusCode());
-            assertTrue(stuckSafe.get().body().contains("stopping"), stuckSafe.get().body());
-            assertEquals(502, stuckUnsafe.get().statusCode(), "it may have run: no refusal");
-            assertEquals(0, bed.gateway.join(5_000));
-            assertThrows(ExecutionException.class, () -> bed.call("seat-check", "late").get());
+            CompletableFuture<HttpResponse<String>> quickResponse =
+                    fixture.sendRequest("seat-check", "quick");
+            CompletableFuture<HttpResponse<String>> stuckSafeResponse =
+                    fixture.sendRequest("seat-check", "stuck");
+            CompletableFuture<HttpResponse<String>> stuckUnsafeResponse =
+                    fixture.sendRequest("seat-charge", "stuck");
+            GatewayFixture.waitUntil(
+                    () -> fixture.inferRequests().size() == 3, "three attempts at the invokers");
+            fixture.gateway.stop();
+            assertEquals(200, quickResponse.get().statusCode());
+            assertEquals(503, stuckSafeResponse.get().statusCode());
+            assertTrue(
+                    stuckSafeResponse.get().body().contains("stopping"),
+                    stuckSafeResponse.get().body());
+            assertEquals(
+                    502,
+                    stuckUnsafeResponse.get().statusCode(),
+                    "an unsafe request that may have run is not answered 503");
+            assertEquals(0, fixture.gateway.join(5_000));
+            assertThrows(
+                    ExecutionException.class,
+                    () -> fixture.sendRequest("seat-check", "late").get());
         }
     }
 
     @Test
-    void withoutInvokersCallsAreRefusedInTimeAndServedWhenTheyReturn() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2).startRoster().start()) {
-            assertEquals(200, bed.await("seat-charge", "before").statusCode());
-            bed.loop.execute(bed.roster::clear);
-            GatewayFixture.until(
-                    () -> metric(bed, "waytrestle_invokers_ready") == 0, "an empty list");
-            HttpResponse<String> r =
-                    bed.http.send(
-                            bed.signed("seat-charge", "none", bed.soon(), GatewayFixture.body("f"))
+    void emptyEndpointListRejectsRequestsWith503UntilInvokersReturn() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2).startRoster().start()) {
+            assertEquals(200, fixture.sendAndWait("seat-charge", "before").statusCode());
+            fixture.eventLoop.execute(fixture.roster::clear);
+            GatewayFixture.waitUntil(
+                    () -> metricValue(fixture, "waytrestle_invokers_ready") == 0,
+                    "an empty endpoint list");
+            HttpResponse<String> response =
+                    fixture.client.send(
+                            fixture.signedRequest(
+                                            "seat-charge",
+                                            "none",
+                                            fixture.validTimestampSeconds(),
+                                            GatewayFixture.requestBody("f"))
                                     .header("Prefer", "respond-async, wait=1")
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            assertEquals(503, r.statusCode());
+            assertEquals(503, response.statusCode());
             assertTrue(
-                    r.body().contains("\"harmless\":true") && !header(r, "retry-after").isEmpty(),
-                    r.body());
-            assertEquals(503, bed.page("/health/ready").statusCode());
-            bed.invokers.forEach(id -> bed.list(id, "passing"));
-            GatewayFixture.until(() -> metric(bed, "waytrestle_invokers_ready") == 2, "the list");
+                    response.body().contains("\"harmless\":true")
+                            && !header(response, "retry-after").isEmpty(),
+                    response.body());
+            assertEquals(503, fixture.fetchAdminPage("/health/ready").statusCode());
+            fixture.invokerAddresses.forEach(
+                    invoker -> fixture.setInvokerState(invoker, "passing"));
+            GatewayFixture.waitUntil(
+                    () -> metricValue(fixture, "waytrestle_invokers_ready") == 2,
+                    "two ready invokers");
             assertEquals(
                     200,
-                    bed.await("seat-charge", "none").statusCode(),
-                    "after a refusal it is a new call");
+                    fixture.sendAndWait("seat-charge", "none").statusCode(),
+                    "the repeat of a rejected request is a new request");
         }
     }
 
     @Test
-    void aRosterThatErrsOrRestartsLeavesItsLastWord() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2).startRoster().start()) {
-            bed.loop.execute(() -> bed.roster.err(true));
-            bed.list(bed.invokers.get(0), "critical");
+    void healthApiErrorKeepsTheLastEndpointListAndARestartUpdatesIt() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2).startRoster().start()) {
+            fixture.eventLoop.execute(() -> fixture.roster.err(true));
+            fixture.setInvokerState(fixture.invokerAddresses.get(0), "critical");
             Thread.sleep(300);
-            assertEquals(2, metric(bed, "waytrestle_invokers_ready"));
-            assertEquals(200, bed.await("seat-check", "a").statusCode());
-            bed.loop.execute(
+            assertEquals(2, metricValue(fixture, "waytrestle_invokers_ready"));
+            assertEquals(200, fixture.sendAndWait("seat-check", "a").statusCode());
+            fixture.eventLoop.execute(
                     () -> {
-                        bed.roster.err(false);
-                        bed.roster.restart();
+                        fixture.roster.err(false);
+                        fixture.roster.restart();
                     });
-            GatewayFixture.until(
-                    () -> metric(bed, "waytrestle_invokers_ready") == 1,
-                    "the list after the restart");
+            GatewayFixture.waitUntil(
+                    () -> metricValue(fixture, "waytrestle_invokers_ready") == 1,
+                    "one ready invoker after the restart of the health API");
         }
     }
 
     @Test
-    void aStepOfTheWallClockLosesNothingAndRunsNothingTwice() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(2)) {
-            AtomicLong wall = new AtomicLong(System.currentTimeMillis());
-            bed.wall = wall::get;
-            bed.start();
-            List<GatewayFixture.Asked> held = new ArrayList<>();
-            bed.script = held::add;
-            HttpRequest open =
-                    bed.signed("seat-charge", "open", bed.soon(), GatewayFixture.body("f")).build();
-            CompletableFuture<HttpResponse<String>> first =
-                    bed.http.sendAsync(open, HttpResponse.BodyHandlers.ofString());
-            GatewayFixture.until(() -> held.size() == 1, "the attempt");
-            for (long step : new long[] {3_600_000, -7_200_000, 3_600_000}) {
-                wall.addAndGet(step);
-                bed.script = a -> a.ok("stepped");
-                assertEquals(200, bed.await("seat-check", "safe" + step).statusCode());
+    void wallClockStepsOfOneAndTwoHoursLoseNoRequestAndRunNoneTwice() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(2)) {
+            AtomicLong wallClock = new AtomicLong(System.currentTimeMillis());
+            fixture.wallClockMillis = wallClock::get;
+            fixture.start();
+            List<GatewayFixture.ReceivedRequest> heldRequests = new ArrayList<>();
+            fixture.script = heldRequests::add;
+            HttpRequest openRequest =
+                    fixture.signedRequest(
+                                    "seat-charge",
+                                    "open",
+                                    fixture.validTimestampSeconds(),
+                                    GatewayFixture.requestBody("f"))
+                            .build();
+            CompletableFuture<HttpResponse<String>> openResponse =
+                    fixture.client.sendAsync(openRequest, HttpResponse.BodyHandlers.ofString());
+            GatewayFixture.waitUntil(() -> heldRequests.size() == 1, "one attempt at the invoker");
+            for (long stepMillis : new long[] {3_600_000, -7_200_000, 3_600_000}) {
+                wallClock.addAndGet(stepMillis);
+                fixture.script = received -> received.respondWithOutput("stepped");
+                assertEquals(
+                        200, fixture.sendAndWait("seat-check", "safe" + stepMillis).statusCode());
             }
-            bed.loop.execute(() -> held.get(0).ok("once"));
-            assertEquals("once", first.get().body());
-            assertEquals("once", bed.http.send(open, HttpResponse.BodyHandlers.ofString()).body());
-            assertEquals(1, bed.infers().stream().filter(a -> a.id().endsWith(" open")).count());
+            fixture.eventLoop.execute(() -> heldRequests.get(0).respondWithOutput("once"));
+            assertEquals("once", openResponse.get().body());
+            assertEquals(
+                    "once",
+                    fixture.client.send(openRequest, HttpResponse.BodyHandlers.ofString()).body());
+            assertEquals(
+                    1,
+                    fixture.inferRequests().stream()
+                            .filter(received -> received.inferenceId().endsWith(" open"))
+                            .count());
         }
     }
 
     @Test
-    void openCallsAreBoundedAndRefusedHarmlessly() throws Exception {
-        try (GatewayFixture bed = new GatewayFixture(1)) {
-            bed.start(
-                    bed.text(false).replace("max_open = 20000", "max_open = 2"),
+    void requestBeyondMaxOpenReturns429AsHarmlessAndIsServedLater() throws Exception {
+        try (GatewayFixture fixture = new GatewayFixture(1)) {
+            fixture.start(
+                    fixture.settingsText(false).replace("max_open = 20000", "max_open = 2"),
                     FinishTimeScheduler::new);
-            List<GatewayFixture.Asked> held = new ArrayList<>();
-            bed.script = held::add;
-            List<CompletableFuture<HttpResponse<String>>> two =
-                    List.of(bed.call("seat-charge", "a"), bed.call("seat-charge", "b"));
-            GatewayFixture.until(() -> held.size() == 2, "two attempts");
-            HttpResponse<String> r = bed.await("seat-charge", "c");
-            assertEquals(429, r.statusCode());
-            assertTrue(r.body().contains("\"harmless\":true"));
-            bed.script = a -> a.ok("x");
-            bed.loop.execute(() -> held.forEach(a -> a.ok("x")));
-            for (CompletableFuture<HttpResponse<String>> each : two) {
-                assertEquals(200, each.get().statusCode());
+            List<GatewayFixture.ReceivedRequest> heldRequests = new ArrayList<>();
+            fixture.script = heldRequests::add;
+            List<CompletableFuture<HttpResponse<String>>> firstTwo =
+                    List.of(
+                            fixture.sendRequest("seat-charge", "a"),
+                            fixture.sendRequest("seat-charge", "b"));
+            GatewayFixture.waitUntil(() -> heldRequests.size() == 2, "two attempts at the invoker");
+            HttpResponse<String> response = fixture.sendAndWait("seat-charge", "c");
+            assertEquals(429, response.statusCode());
+            assertTrue(response.body().contains("\"harmless\":true"));
+            fixture.script = received -> received.respondWithOutput("x");
+            fixture.eventLoop.execute(
+                    () -> heldRequests.forEach(received -> received.respondWithOutput("x")));
+            for (CompletableFuture<HttpResponse<String>> pending : firstTwo) {
+                assertEquals(200, pending.get().statusCode());
             }
-            assertEquals(200, bed.await("seat-charge", "c").statusCode());
-            assertFalse(bed.infers().isEmpty());
+            assertEquals(200, fixture.sendAndWait("seat-charge", "c").statusCode());
+            assertFalse(fixture.inferRequests().isEmpty());
         }
     }
 }
