--- a/src/test/java/waytrestle/gateway/MisbehavingInvokerTest.java
+++ b/src/test/java/waytrestle/gateway/MisbehavingInvokerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import waytrestle.access.AccessLine;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
 import waytrestle.config.TomlFile;
 import waytrestle.scheduler.FinishTimeScheduler;
@@ -496,10 +496,10 @@
                 },
                 "requests signed with the old secret are refused");
         Files.setPosixFilePermissions(secretsFile, PosixFilePermissions.fromString("rw-r--r--"));
-        ConfigError error =
+        ConfigException error =
                 Assertions.assertThrows(
-                        ConfigError.class,
+                        ConfigException.class,
                         () -> TomlFile.parse(text, "x.toml", GatewayConfig::from));
-        assertTrue(error.faults().get(0).contains("chmod 600"), error.faults().toString());
+        assertTrue(error.errors().get(0).contains("chmod 600"), error.errors().toString());
     }
 }
