--- a/src/main/java/waytrestle/requests/PendingRequests.java
+++ b/src/main/java/waytrestle/requests/PendingRequests.java
@@ -14,13 +14,10 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /**
- * Holds the requests in flight and the clients that wait for them, and decides which client gets
- * which outcome: each client gets one response before its deadline and none afterwards. Requests
- * with equal idempotency keys are joined.
- *
- * <p>Events report the arrivals of clients from the front ends, and the scheduler's decisions and
- * the ends of attempts from the controller. The scheduler decides which invoker runs a request and
- * whether the request is rejected.
+ * Holds the requests in flight and the clients that wait for them, joins requests with equal
+ * idempotency keys, and decides which client gets which outcome: each client gets one response
+ * before its deadline and none afterwards. Front ends report arrivals of clients; the controller
+ * reports the ends of attempts and the scheduler's decisions on invokers and rejections.
  *
  * <p>Does no I/O, reads no clock and starts no threads; times are monotonic, in microseconds,
  * unless their names say seconds. Not thread-safe: used by the controller's event loop. Carrying
@@ -28,9 +25,8 @@
  */
 public final class PendingRequests {
     /**
-     * Time left, in scheduler ticks, at or below which a request counts as expired. The scheduler
-     * ends a request one tick before its deadline; the second tick covers the outcomes that follow
-     * from that end.
+     * Time left at or below which a request counts as expired: the scheduler ends it one tick
+     * before its deadline, and the second tick covers the outcomes that follow from that end.
      */
     private static final long EXPIRY_MARGIN_TICKS = 2;
 
@@ -50,14 +46,10 @@
     }
 
     /**
-     * A client sent a request.
+     * A client sent a request. Class and tenant (-1: none) are indices in the scheduler settings.
      *
-     * @param requestClass index of the request class in the scheduler settings
-     * @param tenant index of the tenant in the scheduler settings, -1 for none
-     * @param retryFingerprint value by which a client's retry of a rejected request is recognised;
-     *     0 if the request has none
-     * @param idempotencyKey null for a request that repeats cannot join and the idempotency store
-     *     does not remember
+     * @param retryFingerprint recognises a client's retry of a rejected request; 0 for none
+     * @param idempotencyKey null if no repeats join the request or get its stored outcome
      * @param timeLeftMicros time left until the client's deadline
      */
     public record RequestArrived(
@@ -84,9 +76,8 @@
     /**
      * An attempt ended.
      *
-     * @param outcome {@link RequestOutcome.Served} for the function's response, {@link
-     *     FunctionError} for an error returned by the function itself (the outcome of the request
-     *     if no later attempt is served), null if the function returned neither
+     * @param outcome the function's response, or its own {@link FunctionError} (the outcome of the
+     *     request if no later attempt is served); null if the function returned neither
      * @param endsRequest whether the request ends with the attempt
      * @param responseText HTTP status of the response, or a word in place of one
      */
@@ -103,14 +94,11 @@
      * The scheduler rejected the request.
      *
      * @param retryAfterMicros time after which the client may retry
-     * @param estimateMicros estimated time to the response, if the scheduler rejected the request
-     *     because of that estimate; negative if there was another reason
+     * @param estimateMicros estimated time to the response if it is the reason, else negative
      */
     public record SchedulerRejectedRequest(
             long requestId, long retryAfterMicros, long estimateMicros) implements RequestEvent {
-        /**
-         * Returns whether the request was rejected because of the estimated time to its response.
-         */
+        /** Returns whether the estimated time to the response is the reason. */
         boolean hasEstimate() {
             return estimateMicros >= 0;
         }
@@ -122,8 +110,7 @@
     /**
      * The circuit breaker of the function is open, so the request was not given to the scheduler.
      *
-     * @param lastResponseText text of the last response that the function's invokers gave: an HTTP
-     *     status or a word in place of one
+     * @param lastResponseText HTTP status of the function's last response, or a word in its place
      */
     public record CircuitRejectedRequest(
             long requestId, String lastResponseText, long retryAfterMicros)
@@ -206,9 +193,8 @@
      *
      * @param maxInFlight number of requests in flight at which new requests are rejected
      * @param tickMicros length of the scheduler's tick
-     * @param cancelsAttempts whether attempts can be cancelled; if not, a request whose clients
-     *     have disconnected stays in flight as long as an attempt may run, so that repeats can join
-     *     it
+     * @param cancelsAttempts whether attempts can be cancelled; if not, a request without clients
+     *     stays in flight as long as an attempt may run, so that repeats can join it
      */
     public PendingRequests(
             List<RequestClass> requestClasses,
@@ -242,20 +228,15 @@
         return idempotencyStore;
     }
 
-    /**
-     * Returns whether a response code proves that the attempt has not run, as {@link
-     * ResponseCode#provesNotRun} does.
-     */
+    /** Returns whether a response code proves that the attempt has not run. */
     public static boolean provesNotRun(ResponseCode code) {
         return code.provesNotRun();
     }
 
     /**
-     * Handles one event.
+     * Handles one event and adds the commands that it causes to the sink.
      *
-     * @param nowMicros monotonic time
      * @param wallSeconds wall-clock time, used only to verify the signing times of requests
-     * @param sink receives the commands that the event causes
      */
     public void handle(long nowMicros, long wallSeconds, Event event, CommandSink sink) {
         now = nowMicros;
@@ -373,9 +354,8 @@
         WaitingClient client = new WaitingClient(event.clientId(), request);
         clients.put(client.id(), client);
         request.clients.add(client);
-        // The first client's timer only takes effect if the scheduler has not ended the request by
-        // the deadline. A joined client may have less time left than the request, so its timer
-        // expires early enough for a response before its own deadline.
+        // The first client's timer only takes effect if the scheduler has not ended the request. A
+        // joined client may have less time than the request: its timer leaves time to respond.
         boolean joined = request.clients.size() > 1;
         long marginMicros = joined ? expiryMarginMicros : tickMicros / 2;
         long afterMicros = Math.max(0, event.timeLeftMicros() - marginMicros);
@@ -383,11 +363,9 @@
     }
 
     /**
-     * Responds to a client whose deadline is near. A joined client may have less time left than the
-     * request, which then continues for the other clients. The request itself expires here only if
-     * the scheduler has not ended it in time, because a decision failed or the process stalled.
-     *
-     * @param client null if the client has its response or has disconnected
+     * Responds to a client whose deadline is near; null if it has its response or has disconnected.
+     * The request continues for clients with later deadlines. The request itself expires here only
+     * if the scheduler has not ended it in time, because a decision failed or the process stalled.
      */
     private void deadlineExpired(WaitingClient client) {
         if (client == null) {
@@ -406,11 +384,7 @@
         }
     }
 
-    /**
-     * Removes a client, and ends or detaches its request if no other client waits for it.
-     *
-     * @param client null if the client already has its response
-     */
+    /** Removes a client, null if answered; ends or detaches its request if no other one waits. */
     private void clientDisconnected(WaitingClient client) {
         if (client == null) {
             return;
@@ -423,8 +397,7 @@
         if (cancelsAttempts || !request.attempts.anyMayStillRun()) {
             abandon(request);
         } else if (!request.detached) {
-            // An attempt may still run. The request stays in flight, so that a repeat joins it
-            // instead of running at the same time.
+            // An attempt may still run: stay in flight, so that a repeat joins instead of running.
             request.detached = true;
             commands.add(new AbandonRequest(request.id));
         }
@@ -495,10 +468,7 @@
         request.clients.clear();
     }
 
-    /**
-     * Removes a request from those in flight, and reports its outcome to admission control and the
-     * idempotency store.
-     */
+    /** Takes a request out of flight; reports its outcome to admission control and the store. */
     private void close(PendingRequest request, RequestOutcome outcome) {
         inFlight.remove(request.id);
         RequestArrived arrival = request.arrival;
--- a/src/test/java/waytrestle/scheduler/SchedulerFixture.java
+++ b/src/test/java/waytrestle/scheduler/SchedulerFixture.java
@@ -20,6 +20,16 @@
  * the time, and the commands issued so far. Times are in microseconds.
  */
 final class SchedulerFixture {
+    private static final Rules RULES =
+            new Rules(
+                    /* responseSlackMicros= */ 16_000,
+                    /* drainGraceMicros= */ 500_000,
+                    /* slowStartInitialShare= */ 0.25,
+                    /* slowStartMicros= */ 10_000_000,
+                    /* overloadMultiple= */ 2,
+                    /* overloadWindowMicros= */ 2_000_000,
+                    /* pollIntervalMicros= */ 10_000_000);
+
     boolean reportsNotLoaded;
     boolean acceptsPreloads = true;
     boolean mayCheckHealth;
@@ -76,14 +86,7 @@
                         /* sendsRetryAfter= */ true,
                         /* maxRetryAfterMicros= */ 1_000_000,
                         /* connectTimeoutMicros= */ 250_000),
-                new Rules(
-                        /* responseSlackMicros= */ 16_000,
-                        /* drainGraceMicros= */ 500_000,
-                        /* slowStartInitialShare= */ 0.25,
-                        /* slowStartMicros= */ 10_000_000,
-                        /* overloadMultiple= */ 2,
-                        /* overloadWindowMicros= */ 2_000_000,
-                        /* pollIntervalMicros= */ 10_000_000),
+                RULES,
                 new Preloading(
                         reportsNotLoaded,
                         acceptsPreloads,
