--- a/src/main/java/waytrestle/controller/AttemptSender.java
+++ b/src/main/java/waytrestle/controller/AttemptSender.java
@@ -125,7 +125,7 @@
                         .findClient(attempt.invoker())
                         .sendAttempt(
                                 request.incoming(),
-                                forwardedId(request),
+                                forwardedRequestId(request),
                                 attempt.number(),
                                 attempt.plan().giveUpAtMicros() - transport.nowMicros(),
                                 attempt);
@@ -136,7 +136,7 @@
      * Returns the id by which invokers recognise all attempts of one request: the forwarded id,
      * else the idempotency key, else one that is unique among the controllers.
      */
-    private String forwardedId(OpenRequest request) {
+    private String forwardedRequestId(OpenRequest request) {
         IncomingRequest incoming = request.incoming();
         if (incoming.forwardedRequestId() != null) {
             return incoming.forwardedRequestId();
--- a/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
+++ b/src/main/java/waytrestle/controller/ClassifierCommandHandler.java
@@ -40,7 +40,7 @@
         if (command instanceof ClassifierCommand.AdmitRequest admit) {
             admitRequest(admit);
         } else if (command instanceof ClassifierCommand.RejectRequest reject) {
-            rejectFast(reject);
+            rejectRequest(reject);
         } else if (command instanceof ClassifierCommand.ForwardAttempt forward) {
             attemptSender.forward(forward);
         } else if (command instanceof ClassifierCommand.WithholdAttempt withhold) {
@@ -81,7 +81,7 @@
                         false));
     }
 
-    private void rejectFast(ClassifierCommand.RejectRequest command) {
+    private void rejectRequest(ClassifierCommand.RejectRequest command) {
         dispatcher.notifyPendingRequests(
                 new PendingRequests.CircuitRejectedRequest(
                         command.requestId(),
