--- a/src/main/java/waytrestle/metrics/Metrics.java
+++ b/src/main/java/waytrestle/metrics/Metrics.java
@@ -39,10 +39,12 @@
     public static final class Counter {
         private long value;
 
+        /** Adds one to the count. */
         public void increment() {
             value++;
         }
 
+        /** Returns the present count. */
         public long value() {
             return value;
         }
