--- a/src/main/java/waytrestle/cli/AuditCommand.java
+++ b/src/main/java/waytrestle/cli/AuditCommand.java
@@ -24,7 +24,7 @@
     static Audit.Verdict judge(Path dir) throws Exception {
         return Audit.of(
                 dir.resolve(Evidence.FILE),
-                GatewayConfig.read(dir.resolve("gateway-0.toml")).module());
+                GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings());
     }
 
     @Override
--- a/src/main/java/waytrestle/cli/CheckConfigCommand.java
+++ b/src/main/java/waytrestle/cli/CheckConfigCommand.java
@@ -29,9 +29,9 @@
                 .println(
                         config
                                 + ": "
-                                + read.module().classes().size()
+                                + read.schedulerSettings().classes().size()
                                 + " classes, "
-                                + read.endpoints().size()
+                                + read.webhookEndpoints().size()
                                 + " endpoints, "
                                 + read.functions().size()
                                 + " functions: no fault");
--- a/src/main/java/waytrestle/cli/Cli.java
+++ b/src/main/java/waytrestle/cli/Cli.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import waytrestle.bench.BenchAdapter;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.platform.PlatformController;
 
 /**
@@ -71,8 +71,8 @@
         CommandLine line = new CommandLine(new Cli()).setOut(out).setErr(err);
         line.setExecutionExceptionHandler(
                 (e, command, parsed) -> {
-                    if (e instanceof ConfigError wrong) {
-                        wrong.faults().forEach(err::println);
+                    if (e instanceof ConfigException wrong) {
+                        wrong.errors().forEach(err::println);
                         return 2;
                     }
                     err.println(
--- a/src/main/java/waytrestle/cli/FaultsCommand.java
+++ b/src/main/java/waytrestle/cli/FaultsCommand.java
@@ -182,7 +182,7 @@
         try (Rig rig = new Rig(dir)) {
             for (int i = 0; i < FLEET; i++) {
                 fleet.add(new OddInvoker(WORK));
-                rig.invokers.add(GatewayConfig.parse(fleet.get(i).address()));
+                rig.invokers.add(GatewayConfig.parseAddress(fleet.get(i).address()));
             }
             rig.gateway(c.config(), jar);
             String function =
--- a/src/main/java/waytrestle/cli/Rig.java
+++ b/src/main/java/waytrestle/cli/Rig.java
@@ -143,7 +143,7 @@
                             0,
                             (who, what, pairs) -> {},
                             i);
-            invokers.add(GatewayConfig.parse(made.id()));
+            invokers.add(GatewayConfig.parseAddress(made.id()));
         }
     }
 
@@ -197,7 +197,7 @@
         out.append(text.substring(text.indexOf("[[gateway.kind]]")).replace("gateway.", ""));
         for (InetSocketAddress each : invokers) {
             out.append("\n[[invoker]]\naddress = \"")
-                    .append(GatewayConfig.id(each))
+                    .append(GatewayConfig.invokerId(each))
                     .append("\"\nzone = \"north\"\nkind = \"std\"\n");
         }
         return out.toString();
--- a/src/main/java/waytrestle/cli/ServeCommand.java
+++ b/src/main/java/waytrestle/cli/ServeCommand.java
@@ -62,7 +62,7 @@
                         () -> {
                             gateway.stop();
                             try {
-                                gateway.join(read.stopGraceMicros() / 1_000 + 5_000);
+                                gateway.join(read.shutdownGraceMicros() / 1_000 + 5_000);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
--- a/src/main/java/waytrestle/config/GatewayConfig.java
+++ b/src/main/java/waytrestle/config/GatewayConfig.java
@@ -36,104 +36,109 @@
  * example.
  */
 public record GatewayConfig(
-        SchedulerSettings module,
+        SchedulerSettings schedulerSettings,
         long seed,
         List<String> zones,
-        List<String> kinds,
-        InetSocketAddress listen,
-        InetSocketAddress admin,
-        HttpLimits http,
+        List<String> invokerKinds,
+        InetSocketAddress listenAddress,
+        InetSocketAddress adminAddress,
+        HttpLimits httpLimits,
         int maxConnections,
         long transitMicros,
-        IdempotencyStore.Bounds ids,
-        List<Endpoint> endpoints,
-        Map<String, Function> functions,
-        Function unknownFunction,
-        InvokerLink invokers,
-        Roster roster,
-        Peers peers,
-        long stopGraceMicros,
-        Faults faults,
+        IdempotencyStore.Bounds idempotencyBounds,
+        List<WebhookEndpoint> webhookEndpoints,
+        Map<String, DeclaredFunction> functions,
+        DeclaredFunction unknownFunction,
+        InvokerConnections invokerConnections,
+        Discovery discovery,
+        Gossip gossip,
+        long shutdownGraceMicros,
+        FailureLimit failureLimit,
         OverloadControl.Settings overload,
-        List<TenantQuotas.TenantLimits> bounds,
-        Edge edge,
+        List<TenantQuotas.TenantLimits> tenantLimits,
+        ConnectionLimits connectionLimits,
         Kserve kserve,
-        HealthTrackingClassifier.Settings outcomes,
-        FileAccessLog.Settings access) {
+        HealthTrackingClassifier.Settings classifier,
+        FileAccessLog.Settings accessLog) {
 
     /**
      * Where signed calls come in; secrets are as given, with their prefix. The file is "" where
      * they stand here.
      */
-    public record Endpoint(
+    public record WebhookEndpoint(
             String path,
             int tenant,
             int requestClass,
-            String pointer,
+            String functionPointer,
             String fixedFunction,
             List<String> secrets,
             String secretsFile) {}
 
     /** What a call tells the module of its function; 0 leaves it untold. */
-    public record Function(double memoryMb, int lanes, long loadMicros, long workMicros) {}
+    public record DeclaredFunction(
+            double memoryMb, int concurrencyPerInstance, long loadMicros, long workMicros) {}
 
     /** The connections to each invoker. */
-    public record InvokerLink(
-            int maxConnections, long idleMicros, int answerBytes, long allAnswerBytes) {}
+    public record InvokerConnections(
+            int maxConnections,
+            long idleCloseMicros,
+            int maxResponseBytes,
+            long maxTotalResponseBytes) {}
 
     /**
      * Where the list of invokers comes from: fixed entries, or a health API at an address.
      *
-     * @param validMicros how long the list may be acted on by itself after a query that failed;
-     *     {@link PollFreshness#UNLIMITED} for ever
+     * @param validAfterFailureMicros how long the list may be acted on by itself after a query that
+     *     failed; {@link PollFreshness#UNLIMITED} for ever
      */
-    public record Roster(
-            List<InvokerEndpoint> fixed,
-            InetSocketAddress at,
+    public record Discovery(
+            List<InvokerEndpoint> fixedEndpoints,
+            InetSocketAddress healthApiAddress,
             String service,
-            long waitMicros,
-            long retryMicros,
-            long retryMostMicros,
-            long validMicros) {}
+            long queryWaitMicros,
+            long minRetryPauseMicros,
+            long maxRetryPauseMicros,
+            long validAfterFailureMicros) {}
 
     /** Other controllers, by number; an empty list when there is no talk. */
-    public record Peers(InetSocketAddress listen, Map<Integer, InetSocketAddress> others) {}
+    public record Gossip(
+            InetSocketAddress listenAddress, Map<Integer, InetSocketAddress> peerAddresses) {}
 
     /**
      * What connections may hold: bytes of all bodies, connections of one network, address sets in
      * CIDR form.
      */
-    public record Edge(
-            long bodyBytes,
-            int perNetwork,
-            int v4Prefix,
-            int v6Prefix,
-            List<String> trusted,
-            List<String> barred) {}
+    public record ConnectionLimits(
+            long maxTotalBodyBytes,
+            int maxPerNetwork,
+            int ipv4PrefixBits,
+            int ipv6PrefixBits,
+            List<String> trustedNetworks,
+            List<String> barredNetworks) {}
 
     /** The KServe front; keys by the SHA-256 of their text in hex. Without keys it is closed. */
     public record Kserve(
             int requestClass,
-            Map<String, Integer> tenantByKey,
+            Map<String, Integer> tenantByKeyHash,
             Map<String, Integer> classByModel,
-            int jsonBytes) {}
+            int maxJsonBytes) {}
 
     /** When failed decisions end the process: more than so many within a span. */
-    public record Faults(int most, long spanMicros) {}
+    public record FailureLimit(int maxFailures, long windowMicros) {}
 
     /** A leader election of the health API's servers takes less, and a drain is rarely shorter. */
     private static final double DEFAULT_LIST_VALID_MILLIS = 2_000;
 
     private static final double DAY = 86_400_000; // ms: no time in a configuration is longer
 
-    public static GatewayConfig read(Path file) throws ConfigError {
+    public static GatewayConfig read(Path file) throws ConfigException {
         return TomlFile.read(file, GatewayConfig::from);
     }
 
     public static GatewayConfig from(Section root) {
-        Section controller = root.sub("controller");
+        Section controller = root.subsection("controller");
         List<String> zones = named(controller, "zones");
-        List<Section> kindTables = root.each("kind");
+        List<Section> kindTables = root.subsections("kind");
         List<String> kinds = new ArrayList<>();
         List<Double> memory = new ArrayList<>();
         for (Section kind : kindTables) {
@@ -141,20 +146,20 @@
             memory.add(kind.number("memory_mb", 0, 1e9));
         }
         if (kinds.isEmpty()) {
-            root.fault("kind", "at least one [[kind]] of invoker is needed");
+            root.addError("kind", "at least one [[kind]] of invoker is needed");
         }
         List<RequestClass> classes = new ArrayList<>();
         List<String> classNames = new ArrayList<>();
-        for (Section c : root.each("class")) {
+        for (Section c : root.subsections("class")) {
             classes.add(requestClass(c, classNames));
         }
         if (classes.isEmpty()) {
-            root.fault("class", "at least one [[class]] of calls is needed");
+            root.addError("class", "at least one [[class]] of calls is needed");
         }
         List<Tenant> tenants = new ArrayList<>();
         List<String> tenantNames = new ArrayList<>();
         List<TenantQuotas.TenantLimits> bounds = new ArrayList<>();
-        for (Section t : root.each("tenant")) {
+        for (Section t : root.subsections("tenant")) {
             unique(t, t.text("name"), tenantNames);
             tenants.add(
                     new Tenant(
@@ -164,38 +169,38 @@
             bounds.add(
                     new TenantQuotas.TenantLimits(
                             t.number("max_per_s", 0, 1e9, 0),
-                            (int) t.whole("max_open", 0, 1_000_000, 0)));
+                            (int) t.integer("max_open", 0, 1_000_000, 0)));
         }
-        Section limits = root.sub("limits");
+        Section limits = root.subsection("limits");
         Limits moduleLimits =
                 new Limits(
-                        (int) limits.whole("max_attempts", 1, 100),
-                        (int) limits.whole("max_open", 1, 1_000_000),
+                        (int) limits.integer("max_attempts", 1, 100),
+                        (int) limits.integer("max_open", 1, 1_000_000),
                         limits.flag("cancel"),
                         limits.flag("probes"),
                         limits.flag("peers"),
                         limits.flag("overlap"),
                         limits.flag("retry_after"),
-                        limits.millis("max_retry_after_ms", 0, DAY),
-                        limits.millis("connect_timeout_ms", 1, 60_000));
-        Section rules = root.sub("rules");
+                        limits.microsFromMillis("max_retry_after_ms", 0, DAY),
+                        limits.microsFromMillis("connect_timeout_ms", 1, 60_000));
+        Section rules = root.subsection("rules");
         Rules moduleRules =
                 new Rules(
-                        rules.millis("answer_slack_ms", 0, 60_000),
-                        rules.millis("drain_grace_ms", 0, DAY),
+                        rules.microsFromMillis("answer_slack_ms", 0, 60_000),
+                        rules.microsFromMillis("drain_grace_ms", 0, DAY),
                         rules.number("cold_share", 0, 1),
-                        rules.millis("warm_after_ms", 0, DAY),
+                        rules.microsFromMillis("warm_after_ms", 0, DAY),
                         rules.number("fall_multiple", 0, 1e6),
-                        rules.millis("overload_ms", 1, DAY),
-                        rules.millis("ask_every_ms", 1, DAY));
+                        rules.microsFromMillis("overload_ms", 1, DAY),
+                        rules.microsFromMillis("ask_every_ms", 1, DAY));
         if (moduleLimits.connectTimeoutMicros() >= moduleRules.drainGraceMicros()) {
-            limits.fault(
+            limits.addError(
                     "connect_timeout_ms",
                     "must be below rules.drain_grace_ms: a connection begun before an "
                             + "invoker is told draining must not deliver after the grace");
         }
-        Preloading loading = loading(root.sub("loading"), memory);
-        Section p = root.sub("prices");
+        Preloading loading = loading(root.subsection("loading"), memory);
+        Section p = root.subsection("prices");
         Costs prices =
                 new Costs(
                         price(p, "cross_zone"),
@@ -207,17 +212,17 @@
                         price(p, "connection"),
                         price(p, "handshake"),
                         price(p, "list_lines"));
-        Section rosterTable = root.sub("roster");
+        Section rosterTable = root.subsection("roster");
         DiscoveryMode discovery =
                 rosterTable.choice("discovery", DiscoveryMode.class, GatewayConfig::word);
-        Section reports = root.sub("reports");
-        int count = (int) controller.whole("count", 1, 100_000);
+        Section reports = root.subsection("reports");
+        int count = (int) controller.integer("count", 1, 100_000);
         SchedulerSettings module =
                 new SchedulerSettings(
-                        (int) controller.whole("number", 0, 99_999),
+                        (int) controller.integer("number", 0, 99_999),
                         count,
-                        controller.among("zone", zones, "zone"),
-                        controller.millis("tick_ms", 0.1, 1_000),
+                        controller.indexIn("zone", zones, "zone"),
+                        controller.microsFromMillis("tick_ms", 0.1, 1_000),
                         discovery,
                         reports.choice("how", LoadReportSource.class, GatewayConfig::word),
                         controller.text("weight_kind"),
@@ -229,58 +234,58 @@
                         loading,
                         prices);
         if (module.controllerIndex() >= count) {
-            controller.fault("number", "must be below controller.count, which is " + count);
+            controller.addError("number", "must be below controller.count, which is " + count);
         }
-        Section ids = root.sub("ids");
-        Section unknown = root.sub("unknown_function");
-        Map<String, Function> functions = new HashMap<>();
+        Section ids = root.subsection("ids");
+        Section unknown = root.subsection("unknown_function");
+        Map<String, DeclaredFunction> functions = new HashMap<>();
         Map<String, Integer> classByModel = new HashMap<>();
-        for (Section f : root.each("function")) {
+        for (Section f : root.subsections("function")) {
             String name = f.text("name");
             if (functions.put(name, function(f)) != null) {
-                f.fault("name", "is given twice: \"" + name + "\"");
+                f.addError("name", "is given twice: \"" + name + "\"");
             }
             if (f.has("class")) {
-                classByModel.put(name, f.among("class", classNames, "class"));
+                classByModel.put(name, f.indexIn("class", classNames, "class"));
             }
         }
-        Section links = root.sub("invokers");
-        Section faults = root.sub("faults");
-        Section listen = root.sub("listen");
+        Section links = root.subsection("invokers");
+        Section faults = root.subsection("faults");
+        Section listen = root.subsection("listen");
         return new GatewayConfig(
                 module,
-                controller.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE),
+                controller.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE),
                 zones,
                 kinds,
                 address(listen, "address", null),
                 address(listen, "admin", null),
-                http(root.sub("http")),
-                (int) listen.whole("max_connections", 1, 1_000_000, 10_000),
-                listen.millis("transit_ms", 0, 60_000, 5),
+                http(root.subsection("http")),
+                (int) listen.integer("max_connections", 1, 1_000_000, 10_000),
+                listen.microsFromMillis("transit_ms", 0, 60_000, 5),
                 new IdempotencyStore.Bounds(
-                        (int) ids.whole("entries", 1, 50_000_000, 200_000),
-                        ids.whole("bytes", 1_024, 1L << 40, 256L << 20),
-                        ids.whole("tolerance_s", 1, 86_400, 300)),
+                        (int) ids.integer("entries", 1, 50_000_000, 200_000),
+                        ids.integer("bytes", 1_024, 1L << 40, 256L << 20),
+                        ids.integer("tolerance_s", 1, 86_400, 300)),
                 endpoints(root, tenantNames, classNames),
                 functions,
                 unknownFunction(unknown),
-                new InvokerLink(
-                        (int) links.whole("max_connections", 1, 100_000, 256),
-                        links.millis("idle_close_ms", 1, DAY, 15_000),
-                        (int) links.whole("answer_bytes", 1, 1 << 30, 8 << 20),
-                        links.whole("all_answer_bytes", 1_024, 1L << 40, 256L << 20)),
+                new InvokerConnections(
+                        (int) links.integer("max_connections", 1, 100_000, 256),
+                        links.microsFromMillis("idle_close_ms", 1, DAY, 15_000),
+                        (int) links.integer("answer_bytes", 1, 1 << 30, 8 << 20),
+                        links.integer("all_answer_bytes", 1_024, 1L << 40, 256L << 20)),
                 roster(rosterTable, root, zones, kinds, moduleLimits.mayCheckHealth()),
                 peers(root, count),
-                root.sub("stop").millis("grace_ms", 0, DAY, 10_000),
-                new Faults(
-                        (int) faults.whole("most", 0, 1_000_000, 10),
-                        faults.millis("within_ms", 1, DAY, 60_000)),
-                overload(root.sub("overload")),
+                root.subsection("stop").microsFromMillis("grace_ms", 0, DAY, 10_000),
+                new FailureLimit(
+                        (int) faults.integer("most", 0, 1_000_000, 10),
+                        faults.microsFromMillis("within_ms", 1, DAY, 60_000)),
+                overload(root.subsection("overload")),
                 bounds,
-                edge(root.sub("edge")),
-                kserve(root.sub("kserve"), tenantNames, classNames, classByModel),
-                outcomes(root.sub("outcomes")),
-                access(root.sub("access_log")));
+                edge(root.subsection("edge")),
+                kserve(root.subsection("kserve"), tenantNames, classNames, classByModel),
+                outcomes(root.subsection("outcomes")),
+                access(root.subsection("access_log")));
     }
 
     private static String word(DiscoveryMode mode) {
@@ -309,18 +314,18 @@
     private static List<String> named(Section s, String key) {
         List<String> names = s.texts(key);
         if (names.isEmpty()) {
-            s.fault(key, "at least one name is needed");
+            s.addError(key, "at least one name is needed");
             return List.of("");
         }
         if (new HashSet<>(names).size() != names.size()) {
-            s.fault(key, "a name is given twice");
+            s.addError(key, "a name is given twice");
         }
         return names;
     }
 
     private static void unique(Section s, String name, List<String> names) {
         if (names.contains(name)) {
-            s.fault("name", "is given twice: \"" + name + "\"");
+            s.addError("name", "is given twice: \"" + name + "\"");
         }
         names.add(name);
     }
@@ -334,16 +339,16 @@
         Idempotency repeat = c.choice("repeat", Idempotency.class, GatewayConfig::word);
         boolean keyed = repeat == Idempotency.KEYED;
         if (!keyed && (c.has("group") || c.has("window_ms"))) {
-            c.fault(c.has("group") ? "group" : "window_ms", "only a keyed class has one");
+            c.addError(c.has("group") ? "group" : "window_ms", "only a keyed class has one");
         }
-        long aim = c.millis("aim_ms", 1, DAY);
-        long deadline = c.millis("deadline_ms", 1, DAY);
+        long aim = c.microsFromMillis("aim_ms", 1, DAY);
+        long deadline = c.microsFromMillis("deadline_ms", 1, DAY);
         if (aim > deadline) {
-            c.fault("aim_ms", "must not be over deadline_ms");
+            c.addError("aim_ms", "must not be over deadline_ms");
         }
         DeduplicationScope group =
                 keyed ? c.choice("group", DeduplicationScope.class) : DeduplicationScope.ALL;
-        long window = keyed ? c.millis("window_ms", 1, DAY) : 0;
+        long window = keyed ? c.microsFromMillis("window_ms", 1, DAY) : 0;
         return new RequestClass(
                 names.get(names.size() - 1),
                 repeat,
@@ -363,92 +368,92 @@
                 s.flag("orders"),
                 s.flag("tells_start"),
                 s.flag("tells_company"),
-                s.millis("keep_alive_ms", 1, DAY),
-                s.millis("order_wait_ms", 1, DAY),
+                s.microsFromMillis("keep_alive_ms", 1, DAY),
+                s.microsFromMillis("order_wait_ms", 1, DAY),
                 s.number("idle_memory_price", 0, 1e6),
                 s.number("free_orders", 0, 1e9),
                 s.number("orders_per_call", 0, 1e6),
-                s.millis("order_period_ms", 0, DAY),
+                s.microsFromMillis("order_period_ms", 0, DAY),
                 List.copyOf(memory));
     }
 
-    private static Function function(Section f) {
-        return new Function(
+    private static DeclaredFunction function(Section f) {
+        return new DeclaredFunction(
                 f.number("memory_mb", 0, 1e9, 0),
-                (int) f.whole("lanes", 0, 100_000, 0),
-                f.millis("load_ms", 0, DAY, 0),
-                f.millis("work_ms", 0, DAY, 0));
+                (int) f.integer("lanes", 0, 100_000, 0),
+                f.microsFromMillis("load_ms", 0, DAY, 0),
+                f.microsFromMillis("work_ms", 0, DAY, 0));
     }
 
-    private static Function unknownFunction(Section s) {
-        Function told = function(s);
+    private static DeclaredFunction unknownFunction(Section s) {
+        DeclaredFunction told = function(s);
         return s.flag("accept", true) ? told : null;
     }
 
     private static HttpLimits http(Section h) {
         HttpLimits d = HttpLimits.DEFAULT;
         return new HttpLimits(
-                (int) h.whole("start_line_bytes", 64, 1 << 20, d.startLineBytes()),
-                (int) h.whole("headers", 1, 10_000, d.headerCount()),
-                (int) h.whole("header_bytes", 256, 1 << 24, d.headerBytes()),
-                (int) h.whole("body_bytes", 0, 1 << 30, d.bodyBytes()),
-                h.millis("head_ms", 1, DAY, d.headMicros() / 1e3),
-                h.millis("body_ms", 1, DAY, d.bodyMicros() / 1e3),
-                h.millis("idle_ms", 1, DAY, d.idleMicros() / 1e3),
-                h.millis("write_ms", 1, DAY, d.writeMicros() / 1e3));
+                (int) h.integer("start_line_bytes", 64, 1 << 20, d.startLineBytes()),
+                (int) h.integer("headers", 1, 10_000, d.headerCount()),
+                (int) h.integer("header_bytes", 256, 1 << 24, d.headerBytes()),
+                (int) h.integer("body_bytes", 0, 1 << 30, d.bodyBytes()),
+                h.microsFromMillis("head_ms", 1, DAY, d.headMicros() / 1e3),
+                h.microsFromMillis("body_ms", 1, DAY, d.bodyMicros() / 1e3),
+                h.microsFromMillis("idle_ms", 1, DAY, d.idleMicros() / 1e3),
+                h.microsFromMillis("write_ms", 1, DAY, d.writeMicros() / 1e3));
     }
 
-    private static List<Endpoint> endpoints(
+    private static List<WebhookEndpoint> endpoints(
             Section root, List<String> tenants, List<String> classes) {
-        List<Endpoint> all = new ArrayList<>();
+        List<WebhookEndpoint> all = new ArrayList<>();
         Set<String> paths = new HashSet<>();
-        for (Section e : root.each("endpoint")) {
+        for (Section e : root.subsections("endpoint")) {
             String path = e.text("path");
             if (!path.isEmpty() && !path.startsWith("/")) {
-                e.fault("path", "must begin with /");
+                e.addError("path", "must begin with /");
             }
             if (!paths.add(path)) {
-                e.fault("path", "is given twice: \"" + path + "\"");
+                e.addError("path", "is given twice: \"" + path + "\"");
             }
             int tenant =
                     tenants.isEmpty() && !e.has("tenant")
                             ? -1
-                            : e.among("tenant", tenants, "tenant");
-            int kind = e.among("class", classes, "class");
+                            : e.indexIn("tenant", tenants, "tenant");
+            int kind = e.indexIn("class", classes, "class");
             String pointer = e.text("function_pointer", "");
             String fixed = e.text("function", "");
             if (pointer.isEmpty() == fixed.isEmpty()) {
-                e.fault(
+                e.addError(
                         "function_pointer",
                         "give either function_pointer, a JSON pointer, or function, a name");
             } else if (!pointer.isEmpty() && !pointer.startsWith("/")) {
-                e.fault(
+                e.addError(
                         "function_pointer",
                         "must be a JSON pointer (RFC 6901), as in \"/data/function\"");
             }
             String file = e.text("secrets_file", "");
             List<String> secrets = file.isEmpty() ? e.texts("secrets") : List.of();
             if (!file.isEmpty() && e.has("secrets")) {
-                e.fault("secrets_file", "give either secrets or secrets_file");
+                e.addError("secrets_file", "give either secrets or secrets_file");
             } else if (!file.isEmpty()) {
                 try {
                     secrets = SecretsFile.read(file);
                 } catch (IOException wrong) {
-                    e.fault("secrets_file", wrong.getMessage());
+                    e.addError("secrets_file", wrong.getMessage());
                 }
             } else if (secrets.isEmpty()) {
-                e.fault("secrets", "at least one is needed, or secrets_file");
+                e.addError("secrets", "at least one is needed, or secrets_file");
             }
             for (String secret : secrets) {
-                String wrong = SecretForm.wrong(secret);
+                String wrong = SecretFormat.describeError(secret);
                 if (wrong != null) {
-                    e.fault("secrets", wrong);
+                    e.addError("secrets", wrong);
                 }
             }
-            all.add(new Endpoint(path, tenant, kind, pointer, fixed, secrets, file));
+            all.add(new WebhookEndpoint(path, tenant, kind, pointer, fixed, secrets, file));
         }
         if (all.isEmpty()) {
-            root.fault("endpoint", "at least one [[endpoint]] is needed");
+            root.addError("endpoint", "at least one [[endpoint]] is needed");
         }
         return all;
     }
@@ -456,7 +461,7 @@
     private static OverloadControl.Settings overload(Section s) {
         return new OverloadControl.Settings(
                 s.flag("on", true),
-                (int) s.whole("least_open", 1, 1_000_000, 32),
+                (int) s.integer("least_open", 1, 1_000_000, 32),
                 s.number("retry_share", 0, 10, 0.2),
                 s.number("retries_per_s", 0, 1e6, 10));
     }
@@ -464,36 +469,37 @@
     private static HealthTrackingClassifier.Settings outcomes(Section s) {
         return new HealthTrackingClassifier.Settings(
                 s.number("attempts_per_call", 1, 100, 2),
-                (int) s.whole("failed_tries", 1, 100, 2),
+                (int) s.integer("failed_tries", 1, 100, 2),
                 s.number("eject_share", 0, 1, 0.3),
-                (int) s.whole("breaker_calls", 1, 1_000_000, 5),
-                s.millis("breaker_pause_ms", 1, DAY, 250),
-                s.millis("breaker_most_ms", 1, DAY, 1_000),
-                (int) s.whole("functions", 1, 10_000_000, 20_000));
+                (int) s.integer("breaker_calls", 1, 1_000_000, 5),
+                s.microsFromMillis("breaker_pause_ms", 1, DAY, 250),
+                s.microsFromMillis("breaker_most_ms", 1, DAY, 1_000),
+                (int) s.integer("functions", 1, 10_000_000, 20_000));
     }
 
     private static FileAccessLog.Settings access(Section s) {
         String file = s.text("file", "");
         if (file.isEmpty() && (s.has("share") || s.has("queue"))) {
-            s.fault("file", "is missing: without it there is no access log");
+            s.addError("file", "is missing: without it there is no access log");
         }
         return new FileAccessLog.Settings(
-                file, s.number("share", 0, 1, 1), (int) s.whole("queue", 16, 10_000_000, 8_192));
+                file, s.number("share", 0, 1, 1), (int) s.integer("queue", 16, 10_000_000, 8_192));
     }
 
-    private static Edge edge(Section s) {
-        Edge edge =
-                new Edge(
-                        s.whole("body_bytes", 1_024, 1L << 40, 256L << 20),
-                        (int) s.whole("connections_per_network", 1, 1_000_000, 5_000),
-                        (int) s.whole("v4_prefix", 0, 32, 24),
-                        (int) s.whole("v6_prefix", 0, 128, 64),
+    private static ConnectionLimits edge(Section s) {
+        ConnectionLimits edge =
+                new ConnectionLimits(
+                        s.integer("body_bytes", 1_024, 1L << 40, 256L << 20),
+                        (int) s.integer("connections_per_network", 1, 1_000_000, 5_000),
+                        (int) s.integer("v4_prefix", 0, 32, 24),
+                        (int) s.integer("v6_prefix", 0, 128, 64),
                         s.texts("trusted"),
                         s.texts("barred"));
         for (String key : List.of("trusted", "barred")) {
-            for (String each : key.equals("trusted") ? edge.trusted() : edge.barred()) {
-                if (!Networks.valid(each)) {
-                    s.fault(
+            for (String each :
+                    key.equals("trusted") ? edge.trustedNetworks() : edge.barredNetworks()) {
+                if (!NetworkSet.isValid(each)) {
+                    s.addError(
                             key,
                             "must hold networks as 10.0.0.0/8 or 2001:db8::/32, not \""
                                     + each
@@ -507,26 +513,27 @@
     private static Kserve kserve(
             Section s, List<String> tenants, List<String> classes, Map<String, Integer> byModel) {
         Map<String, Integer> keys = new HashMap<>();
-        for (Section k : s.each("key")) {
+        for (Section k : s.subsections("key")) {
             int tenant =
                     tenants.isEmpty() && !k.has("tenant")
                             ? -1
-                            : k.among("tenant", tenants, "tenant");
+                            : k.indexIn("tenant", tenants, "tenant");
             String hash = k.text("sha256");
             if (!hash.isEmpty() && !hash.matches("[0-9a-f]{64}")) {
-                k.fault(
+                k.addError(
                         "sha256",
                         "must be the SHA-256 of the bearer key, 64 hex figures in lower case");
             }
             if (keys.put(hash, tenant) != null) {
-                k.fault("sha256", "is given twice");
+                k.addError("sha256", "is given twice");
             }
         }
-        int kind = keys.isEmpty() && !s.has("class") ? 0 : s.among("class", classes, "class");
-        return new Kserve(kind, keys, byModel, (int) s.whole("json_bytes", 256, 1 << 30, 1 << 20));
+        int kind = keys.isEmpty() && !s.has("class") ? 0 : s.indexIn("class", classes, "class");
+        return new Kserve(
+                kind, keys, byModel, (int) s.integer("json_bytes", 256, 1 << 30, 1 << 20));
     }
 
-    private static Roster roster(
+    private static Discovery roster(
             Section r,
             Section root,
             List<String> zones,
@@ -534,18 +541,18 @@
             boolean mayCheckHealth) {
         List<InvokerEndpoint> fixed = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (Section i : root.each("invoker")) {
+        for (Section i : root.subsections("invoker")) {
             InetSocketAddress at = address(i, "address", null);
-            String id = at == null ? "" : id(at);
+            String id = at == null ? "" : invokerId(at);
             if (!ids.add(id)) {
-                i.fault("address", "is given twice: " + id);
+                i.addError("address", "is given twice: " + id);
             }
             fixed.add(
                     new InvokerEndpoint(
                             id,
-                            i.among("zone", zones, "zone"),
-                            (int) i.whole("cell", 0, 1_000_000, 0),
-                            i.among("kind", kinds, "kind"),
+                            i.indexIn("zone", zones, "zone"),
+                            (int) i.integer("cell", 0, 1_000_000, 0),
+                            i.indexIn("kind", kinds, "kind"),
                             EndpointState.READY,
                             i.number("weight", 0, 1e6, 1),
                             0));
@@ -553,17 +560,17 @@
         InetSocketAddress at = r.has("address") ? address(r, "address", null) : null;
         String service = r.text("service", "invokers");
         if (at == null == fixed.isEmpty()) {
-            r.fault(
+            r.addError(
                     at == null ? "" : "address",
                     "give either roster.address, a health API, or [[invoker]] entries");
         }
-        return new Roster(
+        return new Discovery(
                 fixed,
                 at,
                 service,
-                r.millis("wait_ms", 1, 600_000, 10_000),
-                r.millis("retry_ms", 1, DAY, 200),
-                r.millis("retry_most_ms", 1, DAY, 5_000),
+                r.microsFromMillis("wait_ms", 1, 600_000, 10_000),
+                r.microsFromMillis("retry_ms", 1, DAY, 200),
+                r.microsFromMillis("retry_most_ms", 1, DAY, 5_000),
                 validMicros(r, mayCheckHealth));
     }
 
@@ -575,23 +582,23 @@
         if (!roster.has("valid_ms") && !mayCheckHealth) {
             return PollFreshness.UNLIMITED;
         }
-        return roster.millis("valid_ms", 0, DAY, DEFAULT_LIST_VALID_MILLIS);
+        return roster.microsFromMillis("valid_ms", 0, DAY, DEFAULT_LIST_VALID_MILLIS);
     }
 
-    private static Peers peers(Section root, int count) {
-        Section p = root.sub("peers");
+    private static Gossip peers(Section root, int count) {
+        Section p = root.subsection("peers");
         InetSocketAddress listen = p.has("listen") ? address(p, "listen", null) : null;
         Map<Integer, InetSocketAddress> others = new HashMap<>();
-        for (Section o : p.each("peer")) {
-            int number = (int) o.whole("number", 0, Math.max(0, count - 1));
+        for (Section o : p.subsections("peer")) {
+            int number = (int) o.integer("number", 0, Math.max(0, count - 1));
             if (others.put(number, address(o, "address", null)) != null) {
-                o.fault("number", "is given twice: " + number);
+                o.addError("number", "is given twice: " + number);
             }
         }
         if (listen == null && !others.isEmpty()) {
-            p.fault("listen", "is missing: peers answer to it");
+            p.addError("listen", "is missing: peers answer to it");
         }
-        return new Peers(listen, others);
+        return new Gossip(listen, others);
     }
 
     /** An address and port in figures; names would need look-ups, which block. */
@@ -600,9 +607,9 @@
             return otherwise;
         }
         String text = s.text(key);
-        InetSocketAddress at = parse(text);
+        InetSocketAddress at = parseAddress(text);
         if (at == null && !text.isEmpty()) {
-            s.fault(
+            s.addError(
                     key,
                     "must be address:port in figures, as 127.0.0.1:8080 or [::1]:8080, not \""
                             + text
@@ -612,12 +619,12 @@
     }
 
     /** Reads address:port in figures, without any look-up; null where it is not one. */
-    public static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         return SocketAddresses.parse(text).orElse(null);
     }
 
     /** The id of an invoker: its address and port. */
-    public static String id(InetSocketAddress at) {
+    public static String invokerId(InetSocketAddress at) {
         return SocketAddresses.format(at);
     }
 }
--- a/src/main/java/waytrestle/config/Networks.java
+++ b/src/main/java/waytrestle/config/NetworkSet.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /** Address sets, IPv4 and IPv6, and the networks that connections are counted by. */
-public final class Networks {
+public final class NetworkSet {
     private final DualIPv4v6Tries set = new DualIPv4v6Tries();
 
-    public Networks(List<String> written) {
+    public NetworkSet(List<String> written) {
         written.forEach(each -> set.add(new IPAddressString(each).getAddress().toPrefixBlock()));
     }
 
     /** Whether a text names a network or an address in figures. */
-    public static boolean valid(String text) {
+    public static boolean isValid(String text) {
         IPAddressString read = new IPAddressString(text);
         return read.isIPAddress()
                 && !read.isAllAddresses()
@@ -35,7 +35,7 @@
     }
 
     /** The network that an address is counted by. */
-    public static String network(InetAddress of, int v4Prefix, int v6Prefix) {
+    public static String networkOf(InetAddress of, int v4Prefix, int v6Prefix) {
         IPAddress address = address(of);
         return address.toPrefixBlock(address.isIPv4() ? v4Prefix : v6Prefix).toCanonicalString();
     }
--- a/src/main/java/waytrestle/config/SecretsFile.java
+++ b/src/main/java/waytrestle/config/SecretsFile.java
@@ -43,7 +43,7 @@
             if (line.isEmpty() || line.startsWith("#")) {
                 continue;
             }
-            String wrong = SecretForm.wrong(line);
+            String wrong = SecretFormat.describeError(line);
             if (wrong != null) {
                 throw new IOException(file + ":" + (i + 1) + ": " + wrong);
             }
--- a/src/main/java/waytrestle/config/Section.java
+++ b/src/main/java/waytrestle/config/Section.java
@@ -18,13 +18,13 @@
  */
 public final class Section {
     /** Faults of one file, in the order of their lines. */
-    public static final class Faults {
+    public static final class Errors {
         private record Fault(int line, String text) {}
 
         private final String file;
         private final List<Fault> faults = new ArrayList<>();
 
-        public Faults(String file) {
+        public Errors(String file) {
             this.file = file;
         }
 
@@ -35,11 +35,11 @@
                             file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + text));
         }
 
-        public boolean none() {
+        public boolean isEmpty() {
             return faults.isEmpty();
         }
 
-        public List<String> all() {
+        public List<String> messages() {
             return faults.stream()
                     .sorted(Comparator.comparingInt(Fault::line))
                     .map(Fault::text)
@@ -51,11 +51,11 @@
     private final TomlTable table;
     private final String path;
     private final int line;
-    private final Faults faults;
+    private final Errors faults;
     private final Set<String> asked = new LinkedHashSet<>();
     private final List<Section> children = new ArrayList<>();
 
-    public Section(TomlTable table, String path, int line, Faults faults) {
+    public Section(TomlTable table, String path, int line, Errors faults) {
         this.table = table;
         this.path = path;
         this.line = line;
@@ -80,15 +80,15 @@
         return at == null ? line : at.line();
     }
 
-    public void fault(String key, String text) {
+    public void addError(String key, String text) {
         faults.add(
                 lineOf(key), path.isEmpty() ? key : key.isEmpty() ? path : path + "." + key, text);
     }
 
-    public Section sub(String key) {
+    public Section subsection(String key) {
         Object value = get(key);
         if (value != null && !(value instanceof TomlTable)) {
-            fault(key, "must be a table");
+            addError(key, "must be a table");
         }
         return child(value instanceof TomlTable t ? t : null, key, lineOf(key));
     }
@@ -100,12 +100,12 @@
     }
 
     /** A table as TOML text, for another reader to check; empty where absent. */
-    public String raw(String key) {
+    public String toToml(String key) {
         return get(key) instanceof TomlTable t ? t.toToml() : "";
     }
 
     /** The tables of an array of tables; none where the key is absent. */
-    public List<Section> each(String key) {
+    public List<Section> subsections(String key) {
         Object value = get(key);
         List<Section> all = new ArrayList<>();
         if (value instanceof TomlArray array) {
@@ -113,11 +113,11 @@
                 if (array.get(i) instanceof TomlTable t) {
                     all.add(child(t, key + "[" + i + "]", array.inputPositionOf(i).line()));
                 } else {
-                    fault(key, "must hold tables");
+                    addError(key, "must hold tables");
                 }
             }
         } else if (value != null) {
-            fault(key, "must be an array of tables, [[" + key + "]]");
+            addError(key, "must be an array of tables, [[" + key + "]]");
         }
         return all;
     }
@@ -125,9 +125,9 @@
     public String text(String key) {
         Object value = get(key);
         if (value == null) {
-            fault(key, "is missing");
+            addError(key, "is missing");
         } else if (!(value instanceof String s) || s.isBlank()) {
-            fault(key, "must be text");
+            addError(key, "must be text");
         } else {
             return s;
         }
@@ -146,9 +146,9 @@
     public boolean flag(String key) {
         Object value = get(key);
         if (value == null) {
-            fault(key, "is missing");
+            addError(key, "is missing");
         } else if (!(value instanceof Boolean)) {
-            fault(key, "must be true or false");
+            addError(key, "must be true or false");
         }
         return value instanceof Boolean b && b;
     }
@@ -160,13 +160,13 @@
     public double number(String key, double least, double most) {
         Object value = get(key);
         if (value == null) {
-            fault(key, "is missing");
+            addError(key, "is missing");
         } else if (!(value instanceof Number n)) {
-            fault(key, "must be a number");
+            addError(key, "must be a number");
         } else if (n.doubleValue() < least
                 || n.doubleValue() > most
                 || Double.isNaN(n.doubleValue())) {
-            fault(key, "must lie from " + plain(least) + " to " + plain(most) + ", not " + n);
+            addError(key, "must lie from " + plain(least) + " to " + plain(most) + ", not " + n);
         } else {
             return n.doubleValue();
         }
@@ -177,30 +177,30 @@
         return has(key) ? number(key, least, most) : skip(key, otherwise);
     }
 
-    public long whole(String key, long least, long most) {
+    public long integer(String key, long least, long most) {
         Object value = get(key);
         if (value == null) {
-            fault(key, "is missing");
+            addError(key, "is missing");
         } else if (!(value instanceof Long n)) {
-            fault(key, "must be a whole number");
+            addError(key, "must be a whole number");
         } else if (n < least || n > most) {
-            fault(key, "must lie from " + least + " to " + most + ", not " + n);
+            addError(key, "must lie from " + least + " to " + most + ", not " + n);
         } else {
             return n;
         }
         return least;
     }
 
-    public long whole(String key, long least, long most, long otherwise) {
-        return has(key) ? whole(key, least, most) : skip(key, otherwise);
+    public long integer(String key, long least, long most, long otherwise) {
+        return has(key) ? integer(key, least, most) : skip(key, otherwise);
     }
 
     /** A time in milliseconds, fractions allowed, as micros. */
-    public long millis(String key, double least, double most) {
+    public long microsFromMillis(String key, double least, double most) {
         return Math.round(number(key, least, most) * 1_000);
     }
 
-    public long millis(String key, double least, double most, double otherwise) {
+    public long microsFromMillis(String key, double least, double most, double otherwise) {
         return Math.round(number(key, least, most, otherwise) * 1_000);
     }
 
@@ -220,7 +220,7 @@
             words.add(word.apply(each));
         }
         if (!given.isEmpty()) {
-            fault(key, "must be one of " + words + ", not \"" + given + "\"");
+            addError(key, "must be one of " + words + ", not \"" + given + "\"");
         }
         return type.getEnumConstants()[0];
     }
@@ -241,31 +241,31 @@
                 }
             }
         } else if (value != null) {
-            fault(key, "must be an array of text");
+            addError(key, "must be an array of text");
         }
         return all;
     }
 
     /** The place of a name among others, told as a fault when it is none of them. */
-    public int among(String key, List<String> names, String what) {
+    public int indexIn(String key, List<String> names, String what) {
         String given = text(key);
         int at = names.indexOf(given);
         if (at < 0 && !given.isEmpty()) {
-            fault(key, "names no " + what + ": \"" + given + "\"");
+            addError(key, "names no " + what + ": \"" + given + "\"");
         }
         return Math.max(0, at);
     }
 
     /** Faults for every key that was never asked for, here and below. */
-    public void refuseUnknown() {
+    public void reportUnknownKeys() {
         if (table != null) {
             for (String key : table.keySet()) {
                 if (!asked.contains(key)) {
-                    fault(key, "is unknown; known here: " + String.join(", ", asked));
+                    addError(key, "is unknown; known here: " + String.join(", ", asked));
                 }
             }
         }
-        children.forEach(Section::refuseUnknown);
+        children.forEach(Section::reportUnknownKeys);
     }
 
     private static String plain(double number) {
--- a/src/main/java/waytrestle/config/TomlFile.java
+++ b/src/main/java/waytrestle/config/TomlFile.java
@@ -15,12 +15,12 @@
 public final class TomlFile {
     private TomlFile() {}
 
-    public static <T> T read(Path file, Function<Section, T> reader) throws ConfigError {
+    public static <T> T read(Path file, Function<Section, T> reader) throws ConfigException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new ConfigError(
+            throw new ConfigException(
                     List.of(
                             file
                                     + ": cannot be read: "
@@ -32,27 +32,27 @@
     }
 
     public static <T> T parse(String text, String name, Function<Section, T> reader)
-            throws ConfigError {
-        Section.Faults faults = new Section.Faults(name);
+            throws ConfigException {
+        Section.Errors faults = new Section.Errors(name);
         TomlParseResult toml = Toml.parse(text);
         toml.errors().forEach(e -> faults.add(e.position().line(), "", e.getMessage()));
-        if (!faults.none()) {
-            throw new ConfigError(faults.all());
+        if (!faults.isEmpty()) {
+            throw new ConfigException(faults.messages());
         }
         Section root = new Section(toml, "", 1, faults);
         T value = reader.apply(root);
-        root.refuseUnknown();
-        if (!faults.none()) {
-            throw new ConfigError(faults.all());
+        root.reportUnknownKeys();
+        if (!faults.isEmpty()) {
+            throw new ConfigException(faults.messages());
         }
         return value;
     }
 
     /** The names of an array of tables, for what must know them before the whole is checked. */
-    public static List<String> names(String text, String key) {
+    public static List<String> tableNames(String text, String key) {
         List<String> all = new ArrayList<>();
-        new Section(Toml.parse(text), "", 1, new Section.Faults(""))
-                .each(key)
+        new Section(Toml.parse(text), "", 1, new Section.Errors(""))
+                .subsections(key)
                 .forEach(s -> all.add(s.text("name")));
         return all;
     }
--- a/src/main/java/waytrestle/config/platform/PlatformConfig.java
+++ b/src/main/java/waytrestle/config/platform/PlatformConfig.java
@@ -18,40 +18,41 @@
 /**
  * The configuration of one controller: the JSON file that {@code BALANCER_CONFIG} names.
  *
- * @param listen where requests are accepted
+ * @param listenAddress where requests are accepted
  * @param seed the seed of the scheduler's random choices, all 64 bits of it
- * @param sockets how many sockets the controller may hold open
- * @param peerListen where gossip is received, or null
- * @param peers the addresses of the other controllers by their index
- * @param peersAll an address that reaches all other controllers, or null
- * @param board the address of the watch stream of service discovery
- * @param lastNotice the revision of the last watch event that the file knows of
- * @param known the watch events that the file already holds
- * @param notices the reader for later watch events, with the same zones and kinds
- * @param idleMicros how long invokers keep an idle connection, in microseconds; 0 if not declared
+ * @param maxOpenSockets how many sockets the controller may hold open
+ * @param gossipListenAddress where gossip is received, or null
+ * @param peerAddresses the addresses of the other controllers by their index
+ * @param allPeersAddress an address that reaches all other controllers, or null
+ * @param watchServerAddress the address of the watch stream of service discovery
+ * @param knownRevision the revision of the last watch event that the file knows of
+ * @param knownEvents the watch events that the file already holds
+ * @param eventReader the reader for later watch events, with the same zones and kinds
+ * @param invokerIdleTimeoutMicros how long invokers keep an idle connection, in microseconds; 0 if
+ *     not declared
  */
 public record PlatformConfig(
         String name,
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         long seed,
-        int sockets,
-        InetSocketAddress peerListen,
-        Map<Integer, InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        InetSocketAddress board,
-        long lastNotice,
-        List<WatchEvent> known,
-        WatchEventReader notices,
+        int maxOpenSockets,
+        InetSocketAddress gossipListenAddress,
+        Map<Integer, InetSocketAddress> peerAddresses,
+        InetSocketAddress allPeersAddress,
+        InetSocketAddress watchServerAddress,
+        long knownRevision,
+        List<WatchEvent> knownEvents,
+        WatchEventReader eventReader,
         SchedulerSettings settings,
-        long idleMicros) {
+        long invokerIdleTimeoutMicros) {
 
     private static final int SEED_RADIX = 16;
 
     /** The file cannot be read or is malformed: names the file, the field and the fault. */
-    public static final class Wrong extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Wrong(Path file, String fault) {
+        InvalidConfigException(Path file, String fault) {
             super(file + ": " + fault);
         }
     }
@@ -59,15 +60,15 @@
     /**
      * Reads a configuration file.
      *
-     * @throws Wrong if the file cannot be read or is malformed
+     * @throws InvalidConfigException if the file cannot be read or is malformed
      */
-    public static PlatformConfig read(Path file) throws Wrong {
+    public static PlatformConfig read(Path file) throws InvalidConfigException {
         try {
             return from(JsonObject.parse(Files.readString(file), "the configuration"));
         } catch (IOException e) {
-            throw new Wrong(file, "cannot be read: " + e.getMessage());
+            throw new InvalidConfigException(file, "cannot be read: " + e.getMessage());
         } catch (MalformedJsonException e) {
-            throw new Wrong(file, e.getMessage());
+            throw new InvalidConfigException(file, e.getMessage());
         }
     }
 
--- a/src/main/java/waytrestle/emulator/Emulation.java
+++ b/src/main/java/waytrestle/emulator/Emulation.java
@@ -16,14 +16,14 @@
 import java.util.SplittableRandom;
 import waytrestle.Bytes;
 import waytrestle.access.AccessLog;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
 import waytrestle.config.TomlFile;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerEnvironment;
 import waytrestle.discovery.EndpointDirectory;
 import waytrestle.discovery.PollFreshness;
-import waytrestle.front.Fronts;
+import waytrestle.front.FrontEnds;
 import waytrestle.gateway.GatewayControllerListener;
 import waytrestle.http.ExchangeFailure;
 import waytrestle.metrics.Metrics;
@@ -93,7 +93,7 @@
     /** Writes its evidence and the controllers' configurations into a directory. */
     public Emulation(
             Scenario scenario, Path dir, Controller.SchedulerFactory maker, boolean overload)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         this(scenario, Files.createDirectories(dir), maker, overload, null);
     }
 
@@ -104,7 +104,7 @@
             Controller.SchedulerFactory maker,
             boolean overload,
             Witness witness)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         this.scenario = scenario;
         this.maker = maker;
         this.overload = overload;
@@ -142,11 +142,11 @@
 
     /** The settings that all controllers share but for their number and zone. */
     public SchedulerSettings settings() {
-        return configs[0].module();
+        return configs[0].schedulerSettings();
     }
 
     public double attemptsPerCall() {
-        return configs[0].outcomes().attemptsPerRequest();
+        return configs[0].classifier().attemptsPerRequest();
     }
 
     /** What is held though all calls are over; asked after {@link #run}. */
@@ -199,13 +199,13 @@
                         .equals(
                                 configs[controller]
                                         .zones()
-                                        .get(configs[controller].module().zone()));
+                                        .get(configs[controller].schedulerSettings().zone()));
     }
 
     /** Runs the whole day; the wall time that it took is in the answer. */
     public long run(PrintWriter progress) throws IOException {
         long began = System.nanoTime();
-        SchedulerSettings s = configs[0].module();
+        SchedulerSettings s = configs[0].schedulerSettings();
         List<Double> weights = new ArrayList<>();
         List<Clients.Target> targets = Cast.targets(scenario, s, functions, weights);
         int number = 0;
@@ -310,10 +310,10 @@
             OverloadControl modules =
                     new OverloadControl(
                             c.overload(),
-                            c.module().limits().maxInFlight(),
-                            c.module().tenants(),
-                            c.bounds(),
-                            c.module().classes());
+                            c.schedulerSettings().limits().maxInFlight(),
+                            c.schedulerSettings().tenants(),
+                            c.tenantLimits(),
+                            c.schedulerSettings().classes());
             GatewayControllerListener watch =
                     new GatewayControllerListener(
                             c,
@@ -329,7 +329,7 @@
             controller =
                     new Controller(
                             host,
-                            watch.parts(),
+                            watch.dependencies(),
                             () -> (clock.now() + stepped) / 1_000,
                             watch,
                             AccessLog.OFF,
@@ -353,7 +353,7 @@
                                     Emulation.this.broken = new IllegalStateException(why);
                                 }
                             });
-            subscribed = c.module().discovery() == DiscoveryMode.PUSH;
+            subscribed = c.schedulerSettings().discovery() == DiscoveryMode.PUSH;
             book =
                     new EndpointDirectory(
                             200_000, 5_000_000, !subscribed, c.seed(), PollFreshness.Limits.NONE);
@@ -435,7 +435,7 @@
                                     id,
                                     Math.max(0, c.zones().indexOf(f.zone())),
                                     f.cell(),
-                                    Math.max(0, c.kinds().indexOf(f.kind())),
+                                    Math.max(0, c.invokerKinds().indexOf(f.kind())),
                                     state.equals("passing")
                                             ? EndpointState.READY
                                             : EndpointState.DRAINING,
@@ -469,7 +469,7 @@
 
     /** A stopping process takes nothing new and ends when nothing is open, or after its grace. */
     private void restart(int number, SimController old, long after) {
-        long until = clock.now() + configs[number].stopGraceMicros();
+        long until = clock.now() + configs[number].shutdownGraceMicros();
         clock.after(
                 after,
                 () -> {
@@ -611,15 +611,18 @@
                                                                     over,
                                                                     () ->
                                                                             handler.answered(
-                                                                                    Fronts.status(
-                                                                                            e),
-                                                                                    Fronts.status(e)
+                                                                                    FrontEnds
+                                                                                            .httpStatus(
+                                                                                                    e),
+                                                                                    FrontEnds
+                                                                                                            .httpStatus(
+                                                                                                                    e)
                                                                                                     != 200
-                                                                                            && Fronts
-                                                                                                    .harmless(
+                                                                                            && FrontEnds
+                                                                                                    .isRetryHarmless(
                                                                                                             e),
-                                                                                    Fronts
-                                                                                            .comeBackMillis(
+                                                                                    FrontEnds
+                                                                                            .retryAfterMillis(
                                                                                                     e))));
                                         });
                     });
--- a/src/main/java/waytrestle/front/Fronts.java
+++ b/src/main/java/waytrestle/front/FrontEnds.java
@@ -9,7 +9,7 @@
 import waytrestle.scheduler.SchedulerSettings.RequestClass;
 
 /** What fronts over HTTP share: names, the client's time, and the status of each end. */
-public final class Fronts {
+public final class FrontEnds {
     private static final Pattern FUNCTION = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,127}");
     private static final Pattern WAIT =
             Pattern.compile(
@@ -20,9 +20,9 @@
 
     // would hold up the loop; the length tells besides
 
-    private Fronts() {}
+    private FrontEnds() {}
 
-    public static boolean isFunction(String name) {
+    public static boolean isFunctionName(String name) {
         return name != null && FUNCTION.matcher(name).matches();
     }
 
@@ -30,7 +30,7 @@
      * Micros left of the client's time: its class's, or less by {@code Prefer: wait} or as told. It
      * began when the client sent the first byte: what that may have waited here is taken off.
      */
-    public static long timeLeft(
+    public static long timeLeftMicros(
             HttpServer.Exchange e, RequestClass kind, long toldMicros, long transitMicros) {
         String prefer = e.message().joinedHeader("prefer");
         Matcher wait = prefer == null ? null : WAIT.matcher(prefer);
@@ -44,7 +44,7 @@
         return whole - transitMicros - (Loop.nowMicros() - e.earliestSentAtMicros());
     }
 
-    public static int status(RequestOutcome end) {
+    public static int httpStatus(RequestOutcome end) {
         if (end instanceof RequestOutcome.Rejected refused) {
             return switch (refused.reason()) {
                 case TOO_MANY_IN_FLIGHT,
@@ -77,7 +77,7 @@
         return last.matches("5\\d\\d") ? Integer.parseInt(last) : 502;
     }
 
-    public static RequestOutcome.AttemptSummary tried(RequestOutcome end) {
+    public static RequestOutcome.AttemptSummary attemptSummary(RequestOutcome end) {
         return end instanceof RequestOutcome.Rejected refused
                 ? refused.attemptSummary()
                 : end instanceof RequestOutcome.Failed failed
@@ -87,18 +87,18 @@
                                 : RequestOutcome.AttemptSummary.NONE;
     }
 
-    public static RequestOutcome.Reason why(RequestOutcome end) {
+    public static RequestOutcome.Reason reason(RequestOutcome end) {
         return end instanceof RequestOutcome.Rejected refused
                 ? refused.reason()
                 : ((RequestOutcome.Failed) end).reason();
     }
 
-    public static String kind(RequestOutcome end) {
-        return why(end).code();
+    public static String reasonCode(RequestOutcome end) {
+        return reason(end).code();
     }
 
     /** Whether coming again is proved to do no harm. */
-    public static boolean harmless(RequestOutcome end) {
+    public static boolean isRetryHarmless(RequestOutcome end) {
         return end instanceof RequestOutcome.Rejected
                 || (end instanceof RequestOutcome.Failed failed && !failed.mayHaveRun())
                 || (end instanceof RequestOutcome.FunctionError answered && !answered.mayHaveRun());
@@ -108,7 +108,7 @@
      * Milliseconds after which a refused client may come again; 0 for other ends, and where that
      * cannot help.
      */
-    public static long comeBackMillis(RequestOutcome end) {
+    public static long retryAfterMillis(RequestOutcome end) {
         return end instanceof RequestOutcome.Rejected refused
                         && refused.reason() != RequestOutcome.Reason.FUNCTION_NOT_FOUND
                 ? Math.max(1, refused.retryAfterMicros() / 1_000)
@@ -116,7 +116,7 @@
     }
 
     /** Tells payloads apart: their length and beginning. */
-    public static long digest(Bytes payload) {
+    public static long payloadDigest(Bytes payload) {
         long h = 0xCBF29CE484222325L ^ payload.size();
         for (byte b : payload.slice(0, Math.min(DIGESTED, payload.size())).array()) {
             h = (h ^ (b & 0xFF)) * 0x100000001B3L;
--- a/src/main/java/waytrestle/front/Router.java
+++ b/src/main/java/waytrestle/front/Router.java
@@ -10,16 +10,16 @@
 
 /** Gives each message to the front that owns its path. */
 public final class Router implements HttpServer.Handler {
-    private final List<Front> fronts;
+    private final List<FrontEnd> fronts;
     private long nowhere;
 
-    public Router(List<Front> fronts) {
+    public Router(List<FrontEnd> fronts) {
         this.fronts = fronts;
     }
 
-    private Front of(String path) {
-        for (Front front : fronts) {
-            if (front.owns(path)) {
+    private FrontEnd of(String path) {
+        for (FrontEnd front : fronts) {
+            if (front.handlesPath(path)) {
                 return front;
             }
         }
@@ -28,13 +28,13 @@
 
     @Override
     public int checkHead(HttpMessage head) {
-        Front front = of(head.path());
+        FrontEnd front = of(head.path());
         return front == null ? 404 : front.checkHead(head);
     }
 
     @Override
     public void handle(HttpServer.Exchange e) {
-        Front front = of(e.message().path());
+        FrontEnd front = of(e.message().path());
         if (front != null) {
             front.handle(e);
             return;
@@ -48,14 +48,17 @@
 
     @Override
     public HttpServer.Refusal refusal(String path, HttpError e) {
-        Front front = path == null ? null : of(path);
+        FrontEnd front = path == null ? null : of(path);
         return front == null ? HttpServer.Handler.super.refusal(path, e) : front.refusal(path, e);
     }
 
     /** What all fronts turned away, by reason. */
-    public Map<String, Long> turnedAway() {
+    public Map<String, Long> rejectedMessagesByReason() {
         Map<String, Long> all = new TreeMap<>();
-        fronts.forEach(f -> f.turnedAway().forEach((reason, n) -> all.merge(reason, n, Long::sum)));
+        fronts.forEach(
+                f ->
+                        f.rejectedMessagesByReason()
+                                .forEach((reason, n) -> all.merge(reason, n, Long::sum)));
         if (nowhere > 0) {
             all.merge("no-endpoint", nowhere, Long::sum);
         }
--- a/src/main/java/waytrestle/front/kserve/FunctionError.java
+++ b/src/main/java/waytrestle/front/kserve/FunctionErrorBody.java
@@ -11,15 +11,15 @@
  * Whether what a model said of its failure has the protocol's form: an object with an {@code error}
  * text.
  */
-final class FunctionError {
+final class FunctionErrorBody {
     private static final JsonFactory JSON = new JsonFactory();
     private static final long READ = 65_536; // bytes of an error that are looked at
     private static final int TOLD = 1_000; // characters of any other text that are passed on
 
-    private FunctionError() {}
+    private FunctionErrorBody() {}
 
     /** Null where the body is such an object; else the text to put into one. */
-    static String text(Bytes body) {
+    static String messageUnlessErrorObject(Bytes body) {
         if (body.size() <= READ && isObject(body.array())) {
             return null;
         }
--- a/src/main/java/waytrestle/front/kserve/InferCheck.java
+++ b/src/main/java/waytrestle/front/kserve/InferRequestValidator.java
@@ -15,15 +15,15 @@
  * Reads an infer request of the Open Inference Protocol as a stream, JSON and binary tensors, and
  * says by field what is wrong with it. It keeps no tensor: what is right is passed on as it came.
  */
-final class InferCheck {
+final class InferRequestValidator {
     /** What the front needs of a request; timeout in micros, 0 untold. */
-    record Checked(String id, long timeoutMicros) {}
+    record ValidatedRequest(String id, long timeoutMicros) {}
 
     /** A fault, naming its field. */
-    static final class Fault extends Exception {
+    static final class InvalidInferRequestException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Fault(String field, String text) {
+        InvalidInferRequestException(String field, String text) {
             super(field.isEmpty() ? text : field + ": " + text, null, false, false);
         }
     }
@@ -64,39 +64,40 @@
     private String id;
     private long timeout;
 
-    private InferCheck(Bytes body, int jsonBytes) {
+    private InferRequestValidator(Bytes body, int jsonBytes) {
         this.body = body;
         this.jsonBytes = jsonBytes;
     }
 
-    static Checked check(Bytes body, int jsonBytes) throws Fault {
-        InferCheck check = new InferCheck(body, jsonBytes);
+    static ValidatedRequest validate(Bytes body, int jsonBytes)
+            throws InvalidInferRequestException {
+        InferRequestValidator check = new InferRequestValidator(body, jsonBytes);
         try (JsonParser json = JSON.createParser(body.slice(0, jsonBytes).stream())) {
             check.request(json);
             if (json.nextToken() != null) {
-                throw new Fault("", "text follows the JSON object");
+                throw new InvalidInferRequestException("", "text follows the JSON object");
             }
         } catch (JsonProcessingException e) {
-            throw new Fault(
+            throw new InvalidInferRequestException(
                     "",
                     "not JSON: "
                             + e.getOriginalMessage()
                             + " at byte "
                             + e.getLocation().getByteOffset());
         } catch (IOException e) {
-            throw new Fault("", "not JSON");
+            throw new InvalidInferRequestException("", "not JSON");
         }
-        return new Checked(check.id, check.timeout);
+        return new ValidatedRequest(check.id, check.timeout);
     }
 
     private static void expect(JsonParser json, JsonToken token, String field, String what)
-            throws Fault {
+            throws InvalidInferRequestException {
         if (json.currentToken() != token) {
-            throw new Fault(field, "must be " + what);
+            throw new InvalidInferRequestException(field, "must be " + what);
         }
     }
 
-    private void request(JsonParser json) throws IOException, Fault {
+    private void request(JsonParser json) throws IOException, InvalidInferRequestException {
         json.nextToken();
         expect(json, JsonToken.START_OBJECT, "", "a JSON object");
         List<Tensor> inputs = null;
@@ -115,19 +116,19 @@
             }
         }
         if (inputs == null || inputs.isEmpty()) {
-            throw new Fault("inputs", "at least one is needed");
+            throw new InvalidInferRequestException("inputs", "at least one is needed");
         }
         binaries(inputs);
     }
 
     private List<Tensor> tensors(JsonParser json, String list, boolean inputs)
-            throws IOException, Fault {
+            throws IOException, InvalidInferRequestException {
         expect(json, JsonToken.START_ARRAY, list, "an array");
         List<Tensor> all = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
             String at = list + "[" + all.size() + "]";
             if (all.size() >= TENSORS) {
-                throw new Fault(list, "holds over " + TENSORS + " tensors");
+                throw new InvalidInferRequestException(list, "holds over " + TENSORS + " tensors");
             }
             expect(json, JsonToken.START_OBJECT, at, "an object");
             Tensor t = new Tensor();
@@ -154,7 +155,7 @@
                 }
             }
             if (t.name == null || t.name.isEmpty()) {
-                throw new Fault(at + ".name", "is missing");
+                throw new InvalidInferRequestException(at + ".name", "is missing");
             }
             if (inputs) {
                 input(t, at);
@@ -164,29 +165,32 @@
         return all;
     }
 
-    private static long shape(JsonParser json, String at) throws IOException, Fault {
+    private static long shape(JsonParser json, String at)
+            throws IOException, InvalidInferRequestException {
         expect(json, JsonToken.START_ARRAY, at, "an array");
         long elements = 1;
         for (int n = 0; json.nextToken() != JsonToken.END_ARRAY; n++) {
             if (n >= DEPTH) {
-                throw new Fault(at, "has over " + DEPTH + " dimensions");
+                throw new InvalidInferRequestException(at, "has over " + DEPTH + " dimensions");
             }
             expect(json, JsonToken.VALUE_NUMBER_INT, at, "whole numbers");
             if ((json.getNumberType() != JsonParser.NumberType.INT
                             && json.getNumberType() != JsonParser.NumberType.LONG)
                     || json.getLongValue() < 0) {
-                throw new Fault(at, "a dimension must be from 0 to 9223372036854775807");
+                throw new InvalidInferRequestException(
+                        at, "a dimension must be from 0 to 9223372036854775807");
             }
             try {
                 elements = Math.multiplyExact(elements, json.getLongValue());
             } catch (ArithmeticException e) {
-                throw new Fault(at, "the number of elements overflows");
+                throw new InvalidInferRequestException(at, "the number of elements overflows");
             }
         }
         return elements;
     }
 
-    private void parameters(JsonParser json, String at, Tensor t) throws IOException, Fault {
+    private void parameters(JsonParser json, String at, Tensor t)
+            throws IOException, InvalidInferRequestException {
         expect(json, JsonToken.START_OBJECT, at, "an object");
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String field = json.currentName();
@@ -197,7 +201,8 @@
                 expect(json, JsonToken.VALUE_NUMBER_INT, at + "." + field, "a whole number");
                 if (json.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                         || json.getLongValue() < 0) {
-                    throw new Fault(at + "." + field, "must be from 0 to 9223372036854775807");
+                    throw new InvalidInferRequestException(
+                            at + "." + field, "must be from 0 to 9223372036854775807");
                 }
                 if (size) {
                     t.binary = json.getLongValue();
@@ -212,9 +217,9 @@
 
     /** Elements flat or nested, in the order of rows; they are counted and bounded, not kept. */
     private static void data(JsonParser json, String at, Tensor t, int depth)
-            throws IOException, Fault {
+            throws IOException, InvalidInferRequestException {
         if (depth > DEPTH) {
-            throw new Fault(at, "is nested over " + DEPTH + " deep");
+            throw new InvalidInferRequestException(at, "is nested over " + DEPTH + " deep");
         }
         while (json.nextToken() != JsonToken.END_ARRAY) {
             switch (json.currentToken()) {
@@ -231,30 +236,33 @@
                     t.most = t.most == null || n.compareTo(t.most) > 0 ? n : t.most;
                 }
                 case VALUE_NUMBER_FLOAT -> t.fractions = true;
-                default -> throw new Fault(at, "holds what is no tensor element");
+                default ->
+                        throw new InvalidInferRequestException(
+                                at, "holds what is no tensor element");
             }
             t.count++;
         }
     }
 
-    private static void input(Tensor t, String at) throws Fault {
+    private static void input(Tensor t, String at) throws InvalidInferRequestException {
         if (t.type == null) {
-            throw new Fault(at + ".datatype", "is missing");
+            throw new InvalidInferRequestException(at + ".datatype", "is missing");
         }
         if (!SIZES.containsKey(t.type)) {
-            throw new Fault(at + ".datatype", "is unknown: " + t.type);
+            throw new InvalidInferRequestException(at + ".datatype", "is unknown: " + t.type);
         }
         if (t.elements < 0) {
-            throw new Fault(at + ".shape", "is missing");
+            throw new InvalidInferRequestException(at + ".shape", "is missing");
         }
         if (t.data == t.binary >= 0) {
-            throw new Fault(at, "needs either data or parameters.binary_data_size");
+            throw new InvalidInferRequestException(
+                    at, "needs either data or parameters.binary_data_size");
         }
         if (t.binary >= 0) {
             return;
         }
         if (t.count != t.elements) {
-            throw new Fault(
+            throw new InvalidInferRequestException(
                     at + ".data",
                     "holds " + t.count + " elements where the shape has " + t.elements);
         }
@@ -268,7 +276,7 @@
                         || (t.numbers && (bytes || flag))
                         || t.type.equals("BF16");
         if (wrong) {
-            throw new Fault(
+            throw new InvalidInferRequestException(
                     at + ".data",
                     t.type.equals("BF16")
                             ? "BF16 is only sent as binary"
@@ -281,13 +289,14 @@
                     BigInteger.ONE.shiftLeft(signed ? bits - 1 : bits).subtract(BigInteger.ONE);
             BigInteger least = signed ? most.negate().subtract(BigInteger.ONE) : BigInteger.ZERO;
             if (t.least.compareTo(least) < 0 || t.most.compareTo(most) > 0) {
-                throw new Fault(at + ".data", "holds a number beyond " + t.type);
+                throw new InvalidInferRequestException(
+                        at + ".data", "holds a number beyond " + t.type);
             }
         }
     }
 
     /** The binary parts follow the JSON in the order of the inputs and fill the rest exactly. */
-    private void binaries(List<Tensor> inputs) throws Fault {
+    private void binaries(List<Tensor> inputs) throws InvalidInferRequestException {
         Bytes.Cursor cursor = body.slice(jsonBytes, body.size()).cursor();
         for (int i = 0; i < inputs.size(); i++) {
             Tensor t = inputs.get(i);
@@ -296,13 +305,13 @@
             }
             String at = "inputs[" + i + "].parameters.binary_data_size";
             if (t.binary > cursor.remaining()) {
-                throw new Fault(
+                throw new InvalidInferRequestException(
                         at, "tells " + t.binary + " bytes where " + cursor.remaining() + " follow");
             }
             int size = SIZES.get(t.type);
             if (size > 0) {
                 if (t.elements > t.binary || t.elements * size != t.binary) {
-                    throw new Fault(
+                    throw new InvalidInferRequestException(
                             at,
                             "is "
                                     + t.binary
@@ -319,20 +328,24 @@
             long end = cursor.remaining() - t.binary;
             for (long n = 0; n < t.elements; n++) {
                 if (cursor.remaining() - end < 4) {
-                    throw new Fault(at, "ends before element " + n + " of " + t.elements);
+                    throw new InvalidInferRequestException(
+                            at, "ends before element " + n + " of " + t.elements);
                 }
                 long length = cursor.readLittleEndianInt() & 0xFFFFFFFFL;
                 if (length > cursor.remaining() - end) {
-                    throw new Fault(at, "element " + n + " is longer than what is left");
+                    throw new InvalidInferRequestException(
+                            at, "element " + n + " is longer than what is left");
                 }
                 cursor.skip(length);
             }
             if (cursor.remaining() != end) {
-                throw new Fault(at, "holds more than the " + t.elements + " elements of the shape");
+                throw new InvalidInferRequestException(
+                        at, "holds more than the " + t.elements + " elements of the shape");
             }
         }
         if (cursor.remaining() > 0) {
-            throw new Fault("", cursor.remaining() + " bytes follow that belong to no input");
+            throw new InvalidInferRequestException(
+                    "", cursor.remaining() + " bytes follow that belong to no input");
         }
     }
 }
--- a/src/main/java/waytrestle/front/kserve/KserveFront.java
+++ b/src/main/java/waytrestle/front/kserve/KserveFrontEnd.java
@@ -16,8 +16,8 @@
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
 import waytrestle.config.GatewayConfig.Kserve;
-import waytrestle.front.Front;
-import waytrestle.front.Fronts;
+import waytrestle.front.FrontEnd;
+import waytrestle.front.FrontEnds;
 import waytrestle.http.HttpError;
 import waytrestle.http.HttpMessage;
 import waytrestle.http.HttpServer;
@@ -33,7 +33,7 @@
  * a call one that can be joined and remembered; the request's own id is only an echo, since the
  * protocol does not make it unique.
  */
-public final class KserveFront implements Front {
+public final class KserveFrontEnd implements FrontEnd {
     private static final String VERSION =
             "1"; // the one version that there is, until functions have versions
     private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
@@ -48,7 +48,7 @@
     private final RequestHandler intake;
     private final Map<String, Long> turnedAway = new HashMap<>();
 
-    public KserveFront(
+    public KserveFrontEnd(
             Kserve config,
             List<RequestClass> classes,
             Iterable<String> models,
@@ -65,12 +65,12 @@
     }
 
     @Override
-    public boolean owns(String path) {
+    public boolean handlesPath(String path) {
         return path.equals("/v2") || path.startsWith("/v2/");
     }
 
     @Override
-    public Map<String, Long> turnedAway() {
+    public Map<String, Long> rejectedMessagesByReason() {
         return turnedAway;
     }
 
@@ -129,7 +129,7 @@
                     "the repository is only read here: load and unload are the gateway's own");
         } else if (model && last != null && (last.equals("infer") ? post : get)) {
             String version = at == 5 ? p[4] : VERSION;
-            if (!Fronts.isFunction(p[2]) || !version.equals(VERSION) || !known.test(p[2])) {
+            if (!FrontEnds.isFunctionName(p[2]) || !version.equals(VERSION) || !known.test(p[2])) {
                 fault(
                         e,
                         404,
@@ -251,7 +251,7 @@
             byte[] hash =
                     MessageDigest.getInstance("SHA-256")
                             .digest(given.substring(7).trim().getBytes(StandardCharsets.UTF_8));
-            return config.tenantByKey().get(HexFormat.of().formatHex(hash));
+            return config.tenantByKeyHash().get(HexFormat.of().formatHex(hash));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("this Java lacks SHA-256", e);
         }
@@ -268,13 +268,13 @@
             fault(e, 400, "tensor", "Inference-Header-Content-Length: must be from 0 to " + size);
             return;
         }
-        if (jsonBytes > config.jsonBytes()) {
+        if (jsonBytes > config.maxJsonBytes()) {
             fault(
                     e,
                     413,
                     "json",
                     "the JSON part is over "
-                            + config.jsonBytes()
+                            + config.maxJsonBytes()
                             + " bytes; send tensors as binary");
             return;
         }
@@ -283,16 +283,16 @@
             fault(e, 400, "key", "Idempotency-Key: must be 1 to 256 visible characters");
             return;
         }
-        InferCheck.Checked checked;
+        InferRequestValidator.ValidatedRequest checked;
         try {
-            checked = InferCheck.check(m.content(), (int) jsonBytes);
-        } catch (InferCheck.Fault wrong) {
+            checked = InferRequestValidator.validate(m.content(), (int) jsonBytes);
+        } catch (InferRequestValidator.InvalidInferRequestException wrong) {
             fault(e, 400, "tensor", wrong.getMessage());
             return;
         }
         int kind = config.classByModel().getOrDefault(model, config.requestClass());
         RequestClass requestClass = classes.get(kind);
-        long digest = Fronts.digest(m.content());
+        long digest = FrontEnds.payloadDigest(m.content());
         // Nothing is signed here, so a call counts as signed just now, after whatever this gateway
         // may have forgotten.
         IdempotencyStore.KeyedRequest arrival =
@@ -316,7 +316,8 @@
                                 model,
                                 arrival,
                                 mark,
-                                Fronts.timeLeft(e, requestClass, checked.timeoutMicros(), transit),
+                                FrontEnds.timeLeftMicros(
+                                        e, requestClass, checked.timeoutMicros(), transit),
                                 TYPE,
                                 m.content(),
                                 (int) jsonBytes),
@@ -343,10 +344,10 @@
             }
             return;
         }
-        long millis = Fronts.comeBackMillis(end);
-        String harmless = Boolean.toString(Fronts.harmless(end));
+        long millis = FrontEnds.retryAfterMillis(end);
+        String harmless = Boolean.toString(FrontEnds.isRetryHarmless(end));
         if (end instanceof RequestOutcome.FunctionError own) {
-            String text = FunctionError.text(own.body());
+            String text = FunctionErrorBody.messageUnlessErrorObject(own.body());
             if (text == null) { // an error object of the protocol already
                 e.answer(own.status(), TYPE, own.body(), "Waytrestle-Harmless", harmless);
             } else {
@@ -364,11 +365,11 @@
             }
             return;
         }
-        RequestOutcome.AttemptSummary tried = Fronts.tried(end);
+        RequestOutcome.AttemptSummary tried = FrontEnds.attemptSummary(end);
         Fields fields =
                 g -> {
-                    g.writeStringField("error", Fronts.why(end).description());
-                    g.writeStringField("reason", Fronts.kind(end));
+                    g.writeStringField("error", FrontEnds.reason(end).description());
+                    g.writeStringField("reason", FrontEnds.reasonCode(end));
                     if (!tried.lastResponseText().isEmpty()) {
                         g.writeNumberField("attempts", tried.forwardedAttempts());
                         g.writeStringField("last", tried.lastResponseText());
@@ -380,14 +381,14 @@
         if (millis > 0) {
             answer(
                     e,
-                    Fronts.status(end),
+                    FrontEnds.httpStatus(end),
                     fields,
                     "Waytrestle-Harmless",
                     harmless,
                     "Retry-After",
                     Long.toString((millis + 999) / 1_000));
         } else {
-            answer(e, Fronts.status(end), fields, "Waytrestle-Harmless", harmless);
+            answer(e, FrontEnds.httpStatus(end), fields, "Waytrestle-Harmless", harmless);
         }
     }
 }
--- a/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
+++ b/src/main/java/waytrestle/front/platform/PlatformFrontEnd.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import waytrestle.front.Front;
+import waytrestle.front.FrontEnd;
 import waytrestle.http.HttpError;
 import waytrestle.http.HttpMessage;
 import waytrestle.http.HttpServer;
@@ -21,7 +21,7 @@
  *
  * <p>Not thread-safe: used by the controller's event loop.
  */
-public final class PlatformFrontEnd implements Front {
+public final class PlatformFrontEnd implements FrontEnd {
     private static final String READINESS_PATH = "/check";
     private static final String READINESS_METHOD = "GET";
 
@@ -68,12 +68,12 @@
     }
 
     @Override
-    public boolean owns(String path) {
+    public boolean handlesPath(String path) {
         return PlatformRequestReader.isRequestPath(path) || path.equals(READINESS_PATH);
     }
 
     @Override
-    public Map<String, Long> turnedAway() {
+    public Map<String, Long> rejectedMessagesByReason() {
         return rejectedMessages;
     }
 
@@ -107,7 +107,7 @@
             handle(exchange, request);
         } catch (InvalidRequestException e) {
             countRejected(e.getMessage());
-            PlatformResponseWriter.writeInvalid(exchange, e);
+            PlatformResponseWriter.writeInvalidRequest(exchange, e);
         }
     }
 
--- a/src/main/java/waytrestle/front/platform/PlatformResponseWriter.java
+++ b/src/main/java/waytrestle/front/platform/PlatformResponseWriter.java
@@ -1,7 +1,7 @@
 package waytrestle.front.platform;
 
 import java.nio.charset.StandardCharsets;
-import waytrestle.front.Fronts;
+import waytrestle.front.FrontEnds;
 import waytrestle.http.HttpServer;
 import waytrestle.requests.RequestOutcome;
 
@@ -32,7 +32,7 @@
     }
 
     /** Answers a message that is not a valid request. */
-    static void writeInvalid(HttpServer.Exchange exchange, InvalidRequestException reason) {
+    static void writeInvalidRequest(HttpServer.Exchange exchange, InvalidRequestException reason) {
         exchange.answer(reason.status(), CONTENT_TYPE, body(reason.getMessage()));
     }
 
@@ -46,20 +46,21 @@
         } else if (outcome instanceof RequestOutcome.Rejected rejected) {
             writeRejected(exchange, rejected);
         } else {
-            exchange.answer(failureStatus(outcome), CONTENT_TYPE, body(Fronts.kind(outcome)));
+            exchange.answer(
+                    failureStatus(outcome), CONTENT_TYPE, body(FrontEnds.reasonCode(outcome)));
         }
     }
 
     private static int failureStatus(RequestOutcome outcome) {
-        boolean otherRequest = Fronts.why(outcome) == RequestOutcome.Reason.PAYLOAD_MISMATCH;
-        return otherRequest ? CONFLICT : Fronts.status(outcome);
+        boolean otherRequest = FrontEnds.reason(outcome) == RequestOutcome.Reason.PAYLOAD_MISMATCH;
+        return otherRequest ? CONFLICT : FrontEnds.httpStatus(outcome);
     }
 
     private static void writeRejected(
             HttpServer.Exchange exchange, RequestOutcome.Rejected rejected) {
         boolean overLimit = rejected.reason() == RequestOutcome.Reason.TOO_MANY_IN_FLIGHT;
         int status = overLimit ? TOO_MANY_REQUESTS : SERVICE_UNAVAILABLE;
-        byte[] body = body(Fronts.kind(rejected));
+        byte[] body = body(FrontEnds.reasonCode(rejected));
         long retryAfterMillis = rejected.retryAfterMicros() / MICROS_PER_MILLI;
         if (retryAfterMillis > 0) {
             exchange.answer(
--- a/src/main/java/waytrestle/front/webhook/FunctionPointer.java
+++ b/src/main/java/waytrestle/front/webhook/JsonPointerReader.java
@@ -9,16 +9,16 @@
 import java.io.IOException;
 
 /** Reads the function's name out of a payload. */
-public final class FunctionPointer {
+public final class JsonPointerReader {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private FunctionPointer() {}
+    private JsonPointerReader() {}
 
     /**
      * The text at a JSON pointer, read without building the payload's tree; null where there is
      * none.
      */
-    public static String at(String pointer, byte[] body) {
+    public static String textAt(String pointer, byte[] body) {
         try (JsonParser json =
                 new FilteringParserDelegate(
                         JSON.createParser(body),
--- a/src/main/java/waytrestle/front/webhook/Signatures.java
+++ b/src/main/java/waytrestle/front/webhook/Signatures.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import waytrestle.config.SecretForm;
+import waytrestle.config.SecretFormat;
 
 /**
  * Signatures of the Standard Webhooks specification: over {@code id.timestamp.body}, {@code v1} by
@@ -33,8 +33,8 @@
     /** Secrets as written, {@code whsec_} or {@code whpk_}. */
     public Signatures(List<String> written) {
         for (String secret : written) {
-            byte[] key = SecretForm.key(secret);
-            if (secret.startsWith(SecretForm.HMAC)) {
+            byte[] key = SecretFormat.decodeKey(secret);
+            if (secret.startsWith(SecretFormat.HMAC_PREFIX)) {
                 secrets.add(new SecretKeySpec(key, "HmacSHA256"));
                 continue;
             }
@@ -118,7 +118,8 @@
                 + Base64.getEncoder()
                         .encodeToString(
                                 sign(
-                                        new SecretKeySpec(SecretForm.key(secret), "HmacSHA256"),
+                                        new SecretKeySpec(
+                                                SecretFormat.decodeKey(secret), "HmacSHA256"),
                                         prefix,
                                         body));
     }
--- a/src/main/java/waytrestle/front/webhook/WebhookFront.java
+++ b/src/main/java/waytrestle/front/webhook/WebhookFrontEnd.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import waytrestle.config.GatewayConfig.Endpoint;
-import waytrestle.front.Front;
-import waytrestle.front.Fronts;
+import waytrestle.config.GatewayConfig.WebhookEndpoint;
+import waytrestle.front.FrontEnd;
+import waytrestle.front.FrontEnds;
 import waytrestle.http.HttpMessage;
 import waytrestle.http.HttpServer;
 import waytrestle.http.Problem;
@@ -21,11 +21,11 @@
  * specification has it, reads the function's name from it and brings it to the core; the function's
  * answer goes back in the response.
  */
-public final class WebhookFront implements Front {
+public final class WebhookFrontEnd implements FrontEnd {
     private static final Pattern ID = Pattern.compile("[!-~]{1,256}");
     private static final Pattern SECONDS = Pattern.compile("\\d{1,12}");
 
-    private record Door(Endpoint endpoint, Signatures signatures, RequestClass kind) {}
+    private record Door(WebhookEndpoint endpoint, Signatures signatures, RequestClass kind) {}
 
     private final Map<String, Door> doors = new HashMap<>();
     private final long toleranceSeconds, transit;
@@ -33,14 +33,14 @@
     private final Predicate<String> known;
     private final Map<String, Long> turnedAway = new HashMap<>();
 
-    public WebhookFront(
-            List<Endpoint> endpoints,
+    public WebhookFrontEnd(
+            List<WebhookEndpoint> endpoints,
             List<RequestClass> classes,
             long toleranceSeconds,
             long transitMicros,
             Predicate<String> known,
             RequestHandler intake) {
-        for (Endpoint e : endpoints) {
+        for (WebhookEndpoint e : endpoints) {
             doors.put(
                     e.path(),
                     new Door(e, new Signatures(e.secrets()), classes.get(e.requestClass())));
@@ -55,7 +55,7 @@
      * Takes other secrets for the endpoints named by path; calls under way keep what they were
      * checked by.
      */
-    public void secrets(Map<String, List<String>> byPath) {
+    public void replaceSecrets(Map<String, List<String>> byPath) {
         byPath.forEach(
                 (path, secrets) ->
                         doors.computeIfPresent(
@@ -65,12 +65,12 @@
     }
 
     @Override
-    public boolean owns(String path) {
+    public boolean handlesPath(String path) {
         return doors.containsKey(path);
     }
 
     @Override
-    public Map<String, Long> turnedAway() {
+    public Map<String, Long> rejectedMessagesByReason() {
         return turnedAway;
     }
 
@@ -125,15 +125,15 @@
         }
         String function = door.endpoint().fixedFunction();
         if (function.isEmpty()) {
-            function = FunctionPointer.at(door.endpoint().pointer(), m.body());
+            function = JsonPointerReader.textAt(door.endpoint().functionPointer(), m.body());
         }
-        if (!Fronts.isFunction(function)) {
+        if (!FrontEnds.isFunctionName(function)) {
             turnAway(
                     e,
                     400,
                     "function",
                     "the payload names no function at "
-                            + door.endpoint().pointer()
+                            + door.endpoint().functionPointer()
                             + ": 1 to 128 letters, figures, dots, dashes or underscores");
             return;
         }
@@ -151,7 +151,7 @@
                         door.kind().idempotency(),
                         door.kind().deduplicationWindowMicros(),
                         signedAt,
-                        Fronts.digest(m.content()));
+                        FrontEnds.payloadDigest(m.content()));
         String type = m.header("content-type");
         RequestHandler.PendingResponse ticket =
                 intake.accept(
@@ -161,7 +161,7 @@
                                 function,
                                 arrival,
                                 arrival.key().hashCode() | 1L << 40,
-                                Fronts.timeLeft(e, door.kind(), 0, transit),
+                                FrontEnds.timeLeftMicros(e, door.kind(), 0, transit),
                                 type == null ? "application/json" : type,
                                 m.content(),
                                 -1),
@@ -194,24 +194,24 @@
                     Boolean.toString(!own.mayHaveRun()));
             return;
         }
-        int status = Fronts.status(end);
-        long millis = Fronts.comeBackMillis(end);
-        RequestOutcome.AttemptSummary tried = Fronts.tried(end);
+        int status = FrontEnds.httpStatus(end);
+        long millis = FrontEnds.retryAfterMillis(end);
+        RequestOutcome.AttemptSummary tried = FrontEnds.attemptSummary(end);
         Problem problem =
                 end instanceof RequestOutcome.FunctionError
                         ? new Problem(
                                 status,
                                 "function",
                                 "the function answered with this status and nothing more",
-                                Fronts.harmless(end),
+                                FrontEnds.isRetryHarmless(end),
                                 0,
                                 tried.forwardedAttempts(),
                                 tried.lastResponseText())
                         : new Problem(
                                 status,
-                                Fronts.kind(end),
-                                Fronts.why(end).description(),
-                                Fronts.harmless(end),
+                                FrontEnds.reasonCode(end),
+                                FrontEnds.reason(end).description(),
+                                FrontEnds.isRetryHarmless(end),
                                 millis,
                                 tried.forwardedAttempts(),
                                 tried.lastResponseText());
--- a/src/main/java/waytrestle/gateway/ConnectionGuard.java
+++ b/src/main/java/waytrestle/gateway/ConnectionGuard.java
@@ -3,7 +3,7 @@
 import java.net.InetAddress;
 import java.util.function.LongConsumer;
 import waytrestle.config.GatewayConfig;
-import waytrestle.config.Networks;
+import waytrestle.config.NetworkSet;
 import waytrestle.http.ServerAdmission;
 import waytrestle.overload.ByteBudget;
 import waytrestle.overload.ConnectionAdmission;
@@ -11,21 +11,21 @@
 
 /** Puts connections and bodies before the modules that bound them. */
 final class ConnectionGuard implements ServerAdmission {
-    private final GatewayConfig.Edge edge;
+    private final GatewayConfig.ConnectionLimits edge;
     private final ConnectionAdmission gate;
     private final ByteBudget budget;
-    private final Networks trusted, barred;
+    private final NetworkSet trusted, barred;
 
     ConnectionGuard(GatewayConfig config) {
-        edge = config.edge();
-        gate = new ConnectionAdmission(config.maxConnections(), edge.perNetwork());
-        budget = new ByteBudget(edge.bodyBytes());
-        trusted = new Networks(edge.trusted());
-        barred = new Networks(edge.barred());
+        edge = config.connectionLimits();
+        gate = new ConnectionAdmission(config.maxConnections(), edge.maxPerNetwork());
+        budget = new ByteBudget(edge.maxTotalBodyBytes());
+        trusted = new NetworkSet(edge.trustedNetworks());
+        barred = new NetworkSet(edge.barredNetworks());
     }
 
     private String network(InetAddress from) {
-        return Networks.network(from, edge.v4Prefix(), edge.v6Prefix());
+        return NetworkSet.networkOf(from, edge.ipv4PrefixBits(), edge.ipv6PrefixBits());
     }
 
     @Override
@@ -69,11 +69,11 @@
         budget.release(connection, granted);
     }
 
-    long bytes() {
+    long reservedBodyBytes() {
         return budget.reservedBytes();
     }
 
-    int waiting() {
+    int waitingBodies() {
         return budget.pendingReservations();
     }
 }
--- a/src/main/java/waytrestle/gateway/EndpointSource.java
+++ b/src/main/java/waytrestle/gateway/EndpointSource.java
@@ -46,37 +46,37 @@
     }
 
     private boolean isFixed() {
-        return config.roster().at() == null;
+        return config.discovery().healthApiAddress() == null;
     }
 
     private boolean isPolledOnDemand() {
-        return config.module().discovery() == DiscoveryMode.POLL;
+        return config.schedulerSettings().discovery() == DiscoveryMode.POLL;
     }
 
     private EndpointDirectory directory() {
-        GatewayConfig.Roster roster = config.roster();
-        long responseMicros = roster.waitMicros() + ConsulPoller.RESPONSE_SLACK_MICROS;
+        GatewayConfig.Discovery roster = config.discovery();
+        long responseMicros = roster.queryWaitMicros() + ConsulPoller.RESPONSE_SLACK_MICROS;
         return new EndpointDirectory(
-                roster.retryMicros(),
-                roster.retryMostMicros(),
+                roster.minRetryPauseMicros(),
+                roster.maxRetryPauseMicros(),
                 isPolledOnDemand(),
                 config.seed(),
-                new PollFreshness.Limits(responseMicros, roster.validMicros()));
+                new PollFreshness.Limits(responseMicros, roster.validAfterFailureMicros()));
     }
 
     private ConsulPoller.Settings pollerSettings() {
         return new ConsulPoller.Settings(
-                config.roster().at(),
-                config.roster().service(),
-                config.roster().waitMicros(),
-                config.module().limits().connectTimeoutMicros(),
-                config.module().controllerIndex(),
+                config.discovery().healthApiAddress(),
+                config.discovery().service(),
+                config.discovery().queryWaitMicros(),
+                config.schedulerSettings().limits().connectTimeoutMicros(),
+                config.schedulerSettings().controllerIndex(),
                 config.zones(),
-                config.kinds());
+                config.invokerKinds());
     }
 
     /** Names what is measured here. */
-    void register(Metrics metrics) {
+    void registerMetrics(Metrics metrics) {
         if (isFixed()) {
             return;
         }
@@ -104,7 +104,8 @@
     }
 
     private void publishFixed() {
-        controller.endpointsUpdated(new EndpointsUpdated(true, false, config.roster().fixed()));
+        controller.endpointsUpdated(
+                new EndpointsUpdated(true, false, config.discovery().fixedEndpoints()));
     }
 
     /** Starts or stops following the health API. */
--- a/src/main/java/waytrestle/gateway/Gateway.java
+++ b/src/main/java/waytrestle/gateway/Gateway.java
@@ -23,10 +23,10 @@
 import waytrestle.config.SecretsFile;
 import waytrestle.controller.Controller;
 import waytrestle.controller.ControllerEnvironment;
-import waytrestle.front.Front;
+import waytrestle.front.FrontEnd;
 import waytrestle.front.Router;
-import waytrestle.front.kserve.KserveFront;
-import waytrestle.front.webhook.WebhookFront;
+import waytrestle.front.kserve.KserveFrontEnd;
+import waytrestle.front.webhook.WebhookFrontEnd;
 import waytrestle.http.HttpServer;
 import waytrestle.http.Problem;
 import waytrestle.metrics.Metrics;
@@ -51,7 +51,7 @@
     private final AtomicInteger exit = new AtomicInteger();
     private Controller controller;
     private Router router;
-    private WebhookFront webhooks;
+    private WebhookFrontEnd webhooks;
     private FileAccessLog access;
     private HttpServer server, admin;
     private EndpointSource endpoints;
@@ -62,7 +62,7 @@
         this.config = config;
         this.loop =
                 new Loop(
-                        "controller-" + config.module().controllerIndex(),
+                        "controller-" + config.schedulerSettings().controllerIndex(),
                         e -> LOG.error("handler.failed", e));
     }
 
@@ -80,9 +80,9 @@
         made.loop.start();
         LOG.info(
                 "gateway.started controller={} controllers={} address={}:{} admin_port={}",
-                config.module().controllerIndex(),
-                config.module().controllerCount(),
-                config.listen().getAddress().getHostAddress(),
+                config.schedulerSettings().controllerIndex(),
+                config.schedulerSettings().controllerCount(),
+                config.listenAddress().getAddress().getHostAddress(),
                 made.port(),
                 made.admin.port());
         return made;
@@ -94,15 +94,15 @@
         OverloadControl overload =
                 new OverloadControl(
                         config.overload(),
-                        config.module().limits().maxInFlight(),
-                        config.module().tenants(),
-                        config.bounds(),
-                        config.module().classes());
+                        config.schedulerSettings().limits().maxInFlight(),
+                        config.schedulerSettings().tenants(),
+                        config.tenantLimits(),
+                        config.schedulerSettings().classes());
         AdmissionControl gate = config.overload().enabled() ? overload : AdmissionControl.ADMIT_ALL;
-        if (!config.access().file().isEmpty()) {
+        if (!config.accessLog().file().isEmpty()) {
             access =
                     new FileAccessLog(
-                            config.access(),
+                            config.accessLog(),
                             config.seed(),
                             e -> LOG.warn("access_log.failed error=\"{}\"", e.toString()));
             metrics.registerFamily(
@@ -121,7 +121,7 @@
         controller =
                 new Controller(
                         new SocketTransport(loop, config),
-                        watch.parts(),
+                        watch.dependencies(),
                         wallMillis,
                         watch,
                         access == null ? AccessLog.OFF : access,
@@ -155,29 +155,29 @@
                                 stop();
                             }
                         });
-        watch.gauges(controller);
+        watch.registerMetrics(controller);
         endpoints = new EndpointSource(config, controller, loop, wallMillis);
-        endpoints.register(metrics);
+        endpoints.registerMetrics(metrics);
         try {
             Predicate<String> known =
                     name ->
                             config.unknownFunction() != null
                                     || config.functions().containsKey(name);
-            List<Front> fronts = new ArrayList<>();
+            List<FrontEnd> fronts = new ArrayList<>();
             webhooks =
-                    new WebhookFront(
-                            config.endpoints(),
-                            config.module().classes(),
-                            config.ids().signatureToleranceSeconds(),
+                    new WebhookFrontEnd(
+                            config.webhookEndpoints(),
+                            config.schedulerSettings().classes(),
+                            config.idempotencyBounds().signatureToleranceSeconds(),
                             config.transitMicros(),
                             known,
                             controller);
             fronts.add(webhooks);
-            if (!config.kserve().tenantByKey().isEmpty()) {
+            if (!config.kserve().tenantByKeyHash().isEmpty()) {
                 fronts.add(
-                        new KserveFront(
+                        new KserveFrontEnd(
                                 config.kserve(),
-                                config.module().classes(),
+                                config.schedulerSettings().classes(),
                                 config.functions().keySet(),
                                 config.transitMicros(),
                                 known,
@@ -185,11 +185,14 @@
             }
             router = new Router(fronts);
             ConnectionGuard door = new ConnectionGuard(config);
-            server = new HttpServer(loop, config.listen(), config.http(), door, router);
-            metrics.registerGauge("waytrestle_body_bytes", "", door::bytes);
-            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waiting);
+            server =
+                    new HttpServer(loop, config.listenAddress(), config.httpLimits(), door, router);
+            metrics.registerGauge("waytrestle_body_bytes", "", door::reservedBodyBytes);
+            metrics.registerGauge("waytrestle_bodies_waiting", "", door::waitingBodies);
             metrics.registerGauge("waytrestle_concurrency_limit", "", overload::concurrencyLimit);
-            admin = new HttpServer(loop, config.admin(), config.http(), 64, this::page);
+            admin =
+                    new HttpServer(
+                            loop, config.adminAddress(), config.httpLimits(), 64, this::page);
             metrics.setHelp("waytrestle_body_bytes", "Bytes of request bodies held at present.");
             metrics.setHelp(
                     "waytrestle_bodies_waiting",
@@ -205,19 +208,20 @@
                     "Messages or connections that never became calls.",
                     out -> {
                         TreeMap<String, Long> all = new TreeMap<>(server.turnedAway());
-                        router.turnedAway().forEach((reason, n) -> all.merge(reason, n, Long::sum));
+                        router.rejectedMessagesByReason()
+                                .forEach((reason, n) -> all.merge(reason, n, Long::sum));
                         all.forEach((reason, n) -> out.accept("reason=\"" + reason + "\"", n));
                     });
             metrics.registerGauge("waytrestle_connections", "", server::connections);
             metrics.registerGauge("waytrestle_timers", "", loop::timerCount);
             process();
-            if (config.peers().listen() != null) {
+            if (config.gossip().listenAddress() != null) {
                 peers =
                         new GossipSocket(
                                 loop,
-                                config.module().controllerIndex(),
-                                config.peers().listen(),
-                                config.peers().others(),
+                                config.schedulerSettings().controllerIndex(),
+                                config.gossip().listenAddress(),
+                                config.gossip().peerAddresses(),
                                 controller::gossipReceived);
             }
         } catch (IOException | RuntimeException e) {
@@ -342,7 +346,9 @@
                     LOG.info("gateway.stopping in_flight={}", controller.inFlight());
                     server.stopAccepting();
                     controller.startShutdown();
-                    await(Loop.nowMicros() + LINGER, Loop.nowMicros() + config.stopGraceMicros());
+                    await(
+                            Loop.nowMicros() + LINGER,
+                            Loop.nowMicros() + config.shutdownGraceMicros());
                 });
     }
 
@@ -371,7 +377,7 @@
      */
     public boolean reload() {
         Map<String, List<String>> read = new HashMap<>();
-        for (GatewayConfig.Endpoint e : config.endpoints()) {
+        for (GatewayConfig.WebhookEndpoint e : config.webhookEndpoints()) {
             if (!e.secretsFile().isEmpty()) {
                 try {
                     read.put(e.path(), SecretsFile.read(e.secretsFile()));
@@ -383,7 +389,7 @@
         }
         loop.execute(
                 () -> {
-                    webhooks.secrets(read);
+                    webhooks.replaceSecrets(read);
                     LOG.info("secrets.reloaded endpoints={}", read.size());
                 });
         if (access != null) {
@@ -412,7 +418,7 @@
     }
 
     /** Runs a task on the gateway's loop; for tests that must act between its events. */
-    public void onLoop(Runnable task) {
+    public void executeOnLoop(Runnable task) {
         loop.execute(task);
     }
 }
--- a/src/main/java/waytrestle/gateway/GatewayControllerListener.java
+++ b/src/main/java/waytrestle/gateway/GatewayControllerListener.java
@@ -44,43 +44,50 @@
         this.metrics = metrics;
         this.outcomes =
                 new HealthTrackingClassifier(
-                        config.outcomes(),
-                        config.module().preloading(),
-                        config.module().loadReports(),
-                        config.module().controllerCount());
+                        config.classifier(),
+                        config.schedulerSettings().preloading(),
+                        config.schedulerSettings().loadReports(),
+                        config.schedulerSettings().controllerCount());
         this.desk =
                 new PendingRequests(
-                        config.module().classes(),
-                        config.module().limits().maxInFlight(),
-                        config.module().tickMicros(),
-                        new IdempotencyStore(config.ids(), wallSeconds),
+                        config.schedulerSettings().classes(),
+                        config.schedulerSettings().limits().maxInFlight(),
+                        config.schedulerSettings().tickMicros(),
+                        new IdempotencyStore(config.idempotencyBounds(), wallSeconds),
                         gate,
-                        config.module().limits().mayCancel());
+                        config.schedulerSettings().limits().mayCancel());
         this.parts =
                 new ControllerDependencies(
-                        config.module(),
-                        maker.create(config.module(), config.seed()),
+                        config.schedulerSettings(),
+                        maker.create(config.schedulerSettings(), config.seed()),
                         desk,
                         outcomes,
                         gate,
                         this::configured,
-                        new FailureThreshold(config.faults().most(), config.faults().spanMicros()));
+                        new FailureThreshold(
+                                config.failureLimit().maxFailures(),
+                                config.failureLimit().windowMicros()));
     }
 
-    public ControllerDependencies parts() {
+    public ControllerDependencies dependencies() {
         return parts;
     }
 
     private FunctionHints configured(String function) {
-        GatewayConfig.Function f =
+        GatewayConfig.DeclaredFunction f =
                 config.functions().getOrDefault(function, config.unknownFunction());
         return f == null
                 ? FunctionHints.NONE
-                : new FunctionHints(f.memoryMb(), f.lanes(), f.loadMicros(), f.workMicros(), false);
+                : new FunctionHints(
+                        f.memoryMb(),
+                        f.concurrencyPerInstance(),
+                        f.loadMicros(),
+                        f.workMicros(),
+                        false);
     }
 
     /** Names what is counted, once the controller stands. */
-    public GatewayControllerListener gauges(Controller controller) {
+    public GatewayControllerListener registerMetrics(Controller controller) {
         metrics.setHelp(
                 "waytrestle_calls_total",
                 "Answers given, by class and end: served, refused (coming again is "
@@ -149,7 +156,7 @@
 
     private String labels(IncomingRequest call, String end) {
         return "class=\""
-                + config.module().classes().get(call.requestClass()).name()
+                + config.schedulerSettings().classes().get(call.requestClass()).name()
                 + "\",end=\""
                 + end
                 + "\"";
@@ -239,7 +246,7 @@
         LOG.error(
                 "scheduler.decision_failed seed={} settings={} event={} events_before={}",
                 config.seed(),
-                config.module(),
+                config.schedulerSettings(),
                 event,
                 List.copyOf(before),
                 why);
--- a/src/main/java/waytrestle/gateway/GossipSocket.java
+++ b/src/main/java/waytrestle/gateway/GossipSocket.java
@@ -17,7 +17,8 @@
  * ones are the message alone, told apart by their sender's address.
  */
 public final class GossipSocket {
-    public static final int MOST = 256; // bytes of a message, as the module is promised
+    public static final int MAX_MESSAGE_BYTES =
+            256; // bytes of a message, as the module is promised
     private static final int MARK = 0x77747231;
     private static final int MAX_MESSAGES_PER_TURN = 64;
 
@@ -31,7 +32,7 @@
     private final int me;
     private Map<Integer, InetSocketAddress> peers;
     private final DatagramChannel channel;
-    private final ByteBuffer in = ByteBuffer.allocate(MOST + 9);
+    private final ByteBuffer in = ByteBuffer.allocate(MAX_MESSAGE_BYTES + 9);
     private final boolean framed;
     private InetSocketAddress all;
     private long dropped;
@@ -47,7 +48,7 @@
     }
 
     /** Plain datagrams; what is for all goes to one address, where there is one. */
-    public static GossipSocket plain(
+    public static GossipSocket openUnframed(
             Loop loop,
             int me,
             InetSocketAddress listen,
@@ -108,13 +109,13 @@
         if (framed) {
             framed(from);
         } else {
-            plain(from, said);
+            openUnframed(from, said);
         }
         return true;
     }
 
     private void framed(SocketAddress from) {
-        if (in.remaining() < 8 || in.remaining() > MOST + 8 || in.getInt() != MARK) {
+        if (in.remaining() < 8 || in.remaining() > MAX_MESSAGE_BYTES + 8 || in.getInt() != MARK) {
             dropped++;
             return;
         }
@@ -128,9 +129,9 @@
         said.accept(peer, message);
     }
 
-    private void plain(SocketAddress from, BiConsumer<Integer, byte[]> said) {
+    private void openUnframed(SocketAddress from, BiConsumer<Integer, byte[]> said) {
         for (Map.Entry<Integer, InetSocketAddress> each : peers.entrySet()) {
-            if (each.getValue().equals(from) && in.remaining() <= MOST) {
+            if (each.getValue().equals(from) && in.remaining() <= MAX_MESSAGE_BYTES) {
                 byte[] message = new byte[in.remaining()];
                 in.get(message);
                 said.accept(each.getKey(), message);
@@ -146,13 +147,13 @@
         all = toAll;
     }
 
-    long dropped() {
+    long droppedMessages() {
         return dropped;
     }
 
     /** Peer -1 addresses all; what the kernel does not take now is lost, as promised. */
     public void send(int peer, byte[] message) {
-        if (message.length > MOST) {
+        if (message.length > MAX_MESSAGE_BYTES) {
             dropped++;
             return;
         }
--- a/src/main/java/waytrestle/gateway/HttpInvokerClient.java
+++ b/src/main/java/waytrestle/gateway/HttpInvokerClient.java
@@ -22,7 +22,7 @@
      * One request and its one end: a whole message, or how it broke. Before its first byte it may
      * still be withdrawn, for its caller's sake or the invoker's.
      */
-    protected final HttpClient.Call exchange(
+    protected final HttpClient.Call startExchange(
             long within,
             Withdrawable exchange,
             Consumer<HttpMessage> answered,
--- a/src/main/java/waytrestle/gateway/SocketTransport.java
+++ b/src/main/java/waytrestle/gateway/SocketTransport.java
@@ -29,14 +29,14 @@
     SocketTransport(Loop loop, GatewayConfig config) {
         super(loop);
         this.config = config;
-        this.held = new FairByteLimit(config.invokers().allAnswerBytes());
+        this.held = new FairByteLimit(config.invokerConnections().maxTotalResponseBytes());
         HttpLimits d = HttpLimits.DEFAULT;
         this.bounds =
                 new HttpLimits(
                         d.startLineBytes(),
                         d.headerCount(),
                         d.headerBytes(),
-                        config.invokers().answerBytes(),
+                        config.invokerConnections().maxResponseBytes(),
                         0,
                         0,
                         0,
@@ -55,14 +55,14 @@
             super(
                     new HttpClient(
                                     loop,
-                                    GatewayConfig.parse(id),
+                                    GatewayConfig.parseAddress(id),
                                     bounds,
-                                    config.invokers().maxConnections(),
-                                    config.module().limits().connectTimeoutMicros(),
-                                    config.invokers().idleMicros(),
+                                    config.invokerConnections().maxConnections(),
+                                    config.schedulerSettings().limits().connectTimeoutMicros(),
+                                    config.invokerConnections().idleCloseMicros(),
                                     held)
                             .withPeerEndListener(lost));
-            protocol = new InferProtocol(id, config.module().controllerIndex());
+            protocol = new InferProtocol(id, config.schedulerSettings().controllerIndex());
         }
 
         @Override
@@ -75,7 +75,7 @@
                             : protocol.infer(
                                     in.function(), id, attempt, in.contentType(), in.payload());
             HttpClient.Call exchange =
-                    exchange(
+                    startExchange(
                             within,
                             ended,
                             m -> {
@@ -115,7 +115,7 @@
 
         private void ask(
                 long within, Copies copies, OperationListener told, ByteBuffer... request) {
-            exchange(
+            startExchange(
                     within,
                     told,
                     m -> {
--- a/src/main/java/waytrestle/hunt/Hunt.java
+++ b/src/main/java/waytrestle/hunt/Hunt.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.TomlFile;
 import waytrestle.controller.Controller;
 import waytrestle.play.Scenario;
@@ -85,8 +85,8 @@
     static Scenario asWritten(Scenario day) {
         try {
             return TomlFile.parse(day.toml(), "day.toml", Scenario::from);
-        } catch (ConfigError e) {
-            throw new IllegalStateException("a drawn day has a fault: " + e.faults(), e);
+        } catch (ConfigException e) {
+            throw new IllegalStateException("a drawn day has a fault: " + e.errors(), e);
         }
     }
 
--- a/src/main/java/waytrestle/invoker/platform/PlatformInvokerProtocol.java
+++ b/src/main/java/waytrestle/invoker/platform/PlatformInvokerProtocol.java
@@ -59,7 +59,7 @@
     }
 
     /** An attempt at a request; one without a body is a GET. */
-    public ByteBuffer[] attempt(
+    public ByteBuffer[] attemptMessage(
             String requestClass, String id, String function, long timeoutMicros, Bytes body) {
         boolean empty = body.size() == 0;
         HttpWriter head =
@@ -79,17 +79,17 @@
     }
 
     /** A request to have at least so many instances loaded; 0 only asks how many are. */
-    public ByteBuffer preload(String function, int instances) {
+    public ByteBuffer preloadMessage(String function, int instances) {
         return HttpWriter.request("PUT", PATH_PREFIX + function + "/" + instances, host).head();
     }
 
     /** A request to unload a function. */
-    public ByteBuffer unload(String function) {
+    public ByteBuffer unloadMessage(String function) {
         return HttpWriter.request("DELETE", PATH_PREFIX + function, host).head();
     }
 
     /** A health check, with or without a load report in its response. */
-    public ByteBuffer healthCheck(boolean withLoadReport) {
+    public ByteBuffer healthCheckMessage(boolean withLoadReport) {
         return HttpWriter.request("GET", withLoadReport ? "/load" : "/alive", host).head();
     }
 
@@ -98,7 +98,7 @@
      * counts as malformed; so does a response that only the close of its connection ended, for it
      * may be cut off.
      */
-    public static ExchangeResult result(HttpMessage response) {
+    public static ExchangeResult exchangeResult(HttpMessage response) {
         if (response.endedByClose()) {
             return ExchangeResult.of(Kind.MALFORMED);
         }
@@ -115,7 +115,7 @@
     }
 
     /** The function's response, to be passed on as it is. */
-    public static Served served(HttpMessage response) {
+    public static Served functionResponse(HttpMessage response) {
         String contentType = response.header("content-type");
         return new Served(contentType == null ? "" : contentType, response.content(), NOT_REPORTED);
     }
--- a/src/main/java/waytrestle/load/LoadPlan.java
+++ b/src/main/java/waytrestle/load/LoadPlan.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
-import waytrestle.config.SecretForm;
+import waytrestle.config.SecretFormat;
 import waytrestle.config.Section;
 import waytrestle.config.TomlFile;
 
@@ -47,31 +47,31 @@
             long deadlineMicros,
             double retryShare) {}
 
-    public static LoadPlan read(Path file) throws ConfigError {
+    public static LoadPlan read(Path file) throws ConfigException {
         return TomlFile.read(file, LoadPlan::from);
     }
 
     public static LoadPlan from(Section root) {
-        Section load = root.sub("load");
+        Section load = root.subsection("load");
         List<Stage> stages = new ArrayList<>();
-        for (Section s : root.each("stage")) {
+        for (Section s : root.subsections("stage")) {
             double from = s.number("from_per_s", 0, 1e6);
             stages.add(
                     new Stage(
                             from,
                             s.number("to_per_s", 0, 1e6, from),
-                            s.millis("seconds", 0.001, 86_400) * 1_000));
+                            s.microsFromMillis("seconds", 0.001, 86_400) * 1_000));
         }
         if (stages.isEmpty()) {
-            root.fault("stage", "at least one [[stage]] is needed");
+            root.addError("stage", "at least one [[stage]] is needed");
         }
         List<Stream> streams = new ArrayList<>();
-        for (Section s : root.each("stream")) {
+        for (Section s : root.subsections("stream")) {
             List<InetSocketAddress> at = new ArrayList<>();
             for (String each : s.texts("at")) {
-                InetSocketAddress address = GatewayConfig.parse(each);
+                InetSocketAddress address = GatewayConfig.parseAddress(each);
                 if (address == null || !address.getAddress().isLoopbackAddress()) {
-                    s.fault(
+                    s.addError(
                             "at",
                             "must hold loopback address:port in figures, not \"" + each + "\"");
                 } else {
@@ -79,13 +79,13 @@
                 }
             }
             if (at.isEmpty()) {
-                s.fault("at", "at least one address is needed");
+                s.addError("at", "at least one address is needed");
             }
             Front front = s.choice("front", Front.class);
             String credential = s.text("credential", "");
             if (front == Front.WEBHOOK
-                    && (credential.isEmpty() || SecretForm.wrong(credential) != null)) {
-                s.fault("credential", "a webhook stream needs its whsec_ secret");
+                    && (credential.isEmpty() || SecretFormat.describeError(credential) != null)) {
+                s.addError("credential", "a webhook stream needs its whsec_ secret");
             }
             streams.add(
                     new Stream(
@@ -95,21 +95,21 @@
                             s.text("path", ""),
                             credential,
                             s.text("function"),
-                            (int) s.whole("functions", 1, 1_000_000, 1),
+                            (int) s.integer("functions", 1, 1_000_000, 1),
                             s.number("zipf", 0, 10, 1),
                             s.number("share", 0, 1e6, 1),
-                            (int) s.whole("payload_bytes", 0, 1 << 28, 256),
+                            (int) s.integer("payload_bytes", 0, 1 << 28, 256),
                             s.number("work_ms", 0, 600_000, 1),
-                            s.millis("aim_ms", 1, 600_000, 800),
-                            s.millis("deadline_ms", 1, 600_000, 5_000),
+                            s.microsFromMillis("aim_ms", 1, 600_000, 800),
+                            s.microsFromMillis("deadline_ms", 1, 600_000, 5_000),
                             s.number("retry_share", 0, 1, 0)));
         }
         if (streams.isEmpty()) {
-            root.fault("stream", "at least one [[stream]] is needed");
+            root.addError("stream", "at least one [[stream]] is needed");
         }
         return new LoadPlan(
-                load.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1),
-                (int) load.whole("connections", 1, 60_000, 2_000),
+                load.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1),
+                (int) load.integer("connections", 1, 60_000, 2_000),
                 stages,
                 streams);
     }
--- a/src/main/java/waytrestle/load/LoadRun.java
+++ b/src/main/java/waytrestle/load/LoadRun.java
@@ -240,7 +240,7 @@
 
     private static ByteBuffer[] request(
             LoadPlan.Stream s, InetSocketAddress to, String function, String id) {
-        String host = GatewayConfig.id(to);
+        String host = GatewayConfig.invokerId(to);
         if (s.front() == LoadPlan.Front.KSERVE && s.payloadBytes() >= LARGE) {
             return tensor(s, host, function, id);
         }
--- a/src/main/java/waytrestle/platform/ConfigurationReloader.java
+++ b/src/main/java/waytrestle/platform/ConfigurationReloader.java
@@ -20,11 +20,11 @@
      */
     private static final int MAX_READ_ATTEMPTS = 10;
 
-    private static final long READ_RETRY_PAUSE_MILLIS = 200;
+    private static final long READ_RETRY_DELAY_MILLIS = 200;
 
     private final Loop loop;
     private final PlatformLog log;
-    private final Consumer<PlatformConfig> receiver;
+    private final Consumer<PlatformConfig> configurationListener;
 
     /** Number of the last reload that was requested; any thread increments it. */
     private final AtomicLong lastRequested = new AtomicLong();
@@ -36,7 +36,7 @@
     ConfigurationReloader(Loop loop, PlatformLog log, Consumer<PlatformConfig> receiver) {
         this.loop = loop;
         this.log = log;
-        this.receiver = receiver;
+        this.configurationListener = receiver;
     }
 
     /**
@@ -51,7 +51,7 @@
                 return;
             }
             try {
-                Thread.sleep(READ_RETRY_PAUSE_MILLIS);
+                Thread.sleep(READ_RETRY_DELAY_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -64,7 +64,7 @@
             PlatformConfig config = PlatformConfig.read(file);
             loop.execute(() -> apply(number, config));
             return true;
-        } catch (PlatformConfig.Wrong e) {
+        } catch (PlatformConfig.InvalidConfigException e) {
             String line = new LogLine("config.rejected").with("error", e.getMessage()).toString();
             loop.execute(() -> log.logMessage(line));
             return false;
@@ -77,7 +77,9 @@
         }
         lastApplied = number;
         log.logMessage(
-                new LogLine("config.reloaded").with("watch_address", config.board()).toString());
-        receiver.accept(config);
+                new LogLine("config.reloaded")
+                        .with("watch_address", config.watchServerAddress())
+                        .toString());
+        configurationListener.accept(config);
     }
 }
--- a/src/main/java/waytrestle/platform/ControllerBootstrap.java
+++ b/src/main/java/waytrestle/platform/ControllerBootstrap.java
@@ -52,14 +52,14 @@
      * Time from a connection to its first complete request. Guards against clients that hold a
      * connection by sending a request without end.
      */
-    private static final long FIRST_REQUEST_MICROS = 2_000_000;
+    private static final long FIRST_REQUEST_TIMEOUT_MICROS = 2_000_000;
 
     /**
      * A client that sees its connection end within 50 ms of its request sends the request once
      * more, perhaps at another controller, which knows nothing of the first. Guards against a
      * second run there of a request whose connection broke here while it may have been running.
      */
-    private static final long CROSSING_CLOSE_MICROS = 60_000;
+    private static final long BROKEN_CLOSE_DELAY_MICROS = 60_000;
 
     /** Failed decisions within the window after which the scheduler counts as broken. */
     private static final int MAX_SCHEDULER_FAILURES = 10;
@@ -71,16 +71,16 @@
      * with a watch server that does not answer, half of the grace is left to obey what it says
      * late.
      */
-    private static final int UNANSWERED_WATCH_GRACE_DIVISOR = 2;
+    private static final int FIRST_WATCH_RESPONSE_GRACE_DIVISOR = 2;
 
     /**
      * Correlation ids that are remembered: several seconds of more requests than one core serves.
      * When all of them are of unsafe requests, new requests are rejected.
      */
-    private static final int MAX_REMEMBERED_IDS = 16_384;
+    private static final int MAX_IDEMPOTENCY_KEYS = 16_384;
 
     /** Memory of these with the responses of some, beside a heap of 64 MB. */
-    private static final long MAX_REMEMBERED_BYTES = 6 << 20;
+    private static final long MAX_IDEMPOTENCY_STORE_BYTES = 6 << 20;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -102,7 +102,7 @@
         this.startRetry = new StartRetry(log);
         this.loop = startRetry.open("loop", this::createLoop);
         loop.faults().reportTo(log::logMessage);
-        int connections = Math.max(MIN_CONNECTIONS, config.sockets() - RESERVED_DESCRIPTORS);
+        int connections = Math.max(MIN_CONNECTIONS, config.maxOpenSockets() - RESERVED_DESCRIPTORS);
         this.maxClientConnections = (int) Math.max(1, CLIENT_CONNECTION_SHARE * connections);
         this.maxInvokerConnections = connections - maxClientConnections;
     }
@@ -120,17 +120,17 @@
                 new PlatformFrontEnd(settings.classes(), settings.preloading(), controller);
         ProcessStartTimes startTimes = new ProcessStartTimes(wallMillis);
         EndpointUpdater endpoints = new EndpointUpdater(controller, addresses, startTimes);
-        StartupGate startup = new StartupGate(config.known(), endpoints, frontEnd);
+        StartupGate startup = new StartupGate(config.knownEvents(), endpoints, frontEnd);
         DiscoveryMonitor discovery = new DiscoveryMonitor(log, controller::listFreshnessChanged);
         WatchClient watchClient = createWatchClient(endpoints, startup, discovery);
-        environment.attachWatch(watchClient);
+        environment.attachWatchClient(watchClient);
         GossipSocket gossip = startRetry.open("gossip", () -> openGossip(controller));
-        environment.attachGossip(gossip);
+        environment.attachGossipSocket(gossip);
         HttpServer server = startRetry.open("listener", () -> openServer(frontEnd));
         loop.execute(() -> startWatching(watchClient, startup));
         loop.addEndTask(
                 () ->
-                        log.summary(
+                        log.logSummary(
                                 controller.refusedSends(),
                                 loop.faults().counts(),
                                 discovery.summary()));
@@ -146,7 +146,11 @@
             InvokerAddresses addresses, PlatformEnvironment environment) {
         PlatformTransport transport =
                 new PlatformTransport(
-                        loop, settings, addresses, config.idleMicros(), maxInvokerConnections);
+                        loop,
+                        settings,
+                        addresses,
+                        config.invokerIdleTimeoutMicros(),
+                        maxInvokerConnections);
         ControllerDependencies dependencies =
                 new ControllerDependencies(
                         settings,
@@ -165,7 +169,7 @@
                 settings.classes(),
                 settings.limits().maxInFlight(),
                 settings.tickMicros(),
-                new IdempotencyStore(rememberedIds(), 0),
+                new IdempotencyStore(idempotencyStoreBounds(), 0),
                 AdmissionControl.ADMIT_ALL,
                 settings.limits().mayCancel());
     }
@@ -175,22 +179,24 @@
      * the longest deadline. Guards against a request that runs again because its response could not
      * be delivered.
      */
-    private IdempotencyStore.Bounds rememberedIds() {
+    private IdempotencyStore.Bounds idempotencyStoreBounds() {
         long longestMicros = 0;
         for (RequestClass requestClass : settings.classes()) {
             longestMicros = Math.max(longestMicros, requestClass.deadlineMicros());
         }
         long seconds = Math.max(1, (longestMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND);
-        return new IdempotencyStore.Bounds(MAX_REMEMBERED_IDS, MAX_REMEMBERED_BYTES, seconds);
+        return new IdempotencyStore.Bounds(
+                MAX_IDEMPOTENCY_KEYS, MAX_IDEMPOTENCY_STORE_BYTES, seconds);
     }
 
     private WatchClient createWatchClient(
             EndpointUpdater endpoints, StartupGate startup, DiscoveryMonitor discovery) {
-        WatchState state = new WatchState(config.lastNotice(), settings.rules().drainGraceMicros());
+        WatchState state =
+                new WatchState(config.knownRevision(), settings.rules().drainGraceMicros());
         return new WatchClient(
                 loop,
-                config.board(),
-                config.notices(),
+                config.watchServerAddress(),
+                config.eventReader(),
                 state,
                 endpoints::apply,
                 startup::open,
@@ -199,30 +205,31 @@
     }
 
     private GossipSocket openGossip(Controller controller) throws IOException {
-        if (!settings.limits().mayGossip() || config.peerListen() == null) {
+        if (!settings.limits().mayGossip() || config.gossipListenAddress() == null) {
             return null;
         }
-        return GossipSocket.plain(
+        return GossipSocket.openUnframed(
                 loop,
                 settings.controllerIndex(),
-                config.peerListen(),
-                config.peers(),
-                config.peersAll(),
+                config.gossipListenAddress(),
+                config.peerAddresses(),
+                config.allPeersAddress(),
                 controller::gossipReceived);
     }
 
     private HttpServer openServer(PlatformFrontEnd frontEnd) throws IOException {
         ServerAdmission connectionLimit = ServerAdmission.withConnectionLimit(maxClientConnections);
-        return new HttpServer(loop, config.listen(), HTTP_LIMITS, connectionLimit, frontEnd)
-                .withFirstRequestMicros(FIRST_REQUEST_MICROS)
-                .withBrokenCloseDelayMicros(CROSSING_CLOSE_MICROS)
+        return new HttpServer(loop, config.listenAddress(), HTTP_LIMITS, connectionLimit, frontEnd)
+                .withFirstRequestMicros(FIRST_REQUEST_TIMEOUT_MICROS)
+                .withBrokenCloseDelayMicros(BROKEN_CLOSE_DELAY_MICROS)
                 .withIdleEviction()
                 .withResetOnFullInput();
     }
 
     private void startWatching(WatchClient watchClient, StartupGate startup) {
         watchClient.start();
-        long maxWaitMicros = settings.rules().drainGraceMicros() / UNANSWERED_WATCH_GRACE_DIVISOR;
+        long maxWaitMicros =
+                settings.rules().drainGraceMicros() / FIRST_WATCH_RESPONSE_GRACE_DIVISOR;
         loop.after(maxWaitMicros, startup::open);
     }
 }
--- a/src/main/java/waytrestle/platform/DiscoveryMonitor.java
+++ b/src/main/java/waytrestle/platform/DiscoveryMonitor.java
@@ -36,15 +36,15 @@
     void freshnessChanged(WatchState.PublishFreshness freshness, long lastRevision) {
         long now = Loop.nowMicros();
         if (freshness.current() && lost) {
-            restored(now, lastRevision);
+            discoveryRestored(now, lastRevision);
         } else if (!freshness.current() && !lost) {
-            lost(now, freshness, lastRevision);
+            discoveryLost(now, freshness, lastRevision);
         }
         freshnessListener.listFreshnessChanged(
                 freshness.receivedAtMicros(), freshness.catchingUp());
     }
 
-    private void lost(long now, WatchState.PublishFreshness freshness, long lastRevision) {
+    private void discoveryLost(long now, WatchState.PublishFreshness freshness, long lastRevision) {
         lost = true;
         lostAtMicros = now;
         outages++;
@@ -56,7 +56,7 @@
                         .toString());
     }
 
-    private void restored(long now, long lastRevision) {
+    private void discoveryRestored(long now, long lastRevision) {
         lost = false;
         long duration = now - lostAtMicros;
         longestOutageMicros = Math.max(longestOutageMicros, duration);
--- a/src/main/java/waytrestle/platform/GracefulShutdown.java
+++ b/src/main/java/waytrestle/platform/GracefulShutdown.java
@@ -13,19 +13,19 @@
  */
 final class GracefulShutdown {
     /** Time after the signal in which the platform still routes requests here. */
-    private static final long ACCEPT_MICROS = 800_000;
+    private static final long ACCEPT_DURATION_MICROS = 800_000;
 
     /** Time between checks of what is still in flight after that. */
-    private static final long IN_FLIGHT_CHECK_MICROS = 10_000;
+    private static final long COMPLETION_CHECK_INTERVAL_MICROS = 10_000;
 
     /**
      * Time without a request in flight that partial requests, and responses still being read, are
      * given: as long as a message may take.
      */
-    private static final long PARTIAL_MESSAGE_MICROS = 2_000_000;
+    private static final long PARTIAL_MESSAGE_TIMEOUT_MICROS = 2_000_000;
 
     /** Time at the end for the last responses to leave. */
-    private static final long FLUSH_MICROS = 100_000;
+    private static final long FLUSH_DELAY_MICROS = 100_000;
 
     private final Loop loop;
     private final PlatformFrontEnd frontEnd;
@@ -57,7 +57,7 @@
         started = true;
         frontEnd.startShutdown();
         server.closeAfterResponses();
-        loop.after(ACCEPT_MICROS, this::stopAccepting);
+        loop.after(ACCEPT_DURATION_MICROS, this::stopAccepting);
     }
 
     private void stopAccepting() {
@@ -74,11 +74,12 @@
             lastInFlightMicros = now;
         }
         boolean partialMessages =
-                server.busyConnections() > 0 && now - lastInFlightMicros < PARTIAL_MESSAGE_MICROS;
+                server.busyConnections() > 0
+                        && now - lastInFlightMicros < PARTIAL_MESSAGE_TIMEOUT_MICROS;
         if (inFlight || partialMessages) {
-            loop.after(IN_FLIGHT_CHECK_MICROS, this::awaitCompletion);
+            loop.after(COMPLETION_CHECK_INTERVAL_MICROS, this::awaitCompletion);
             return;
         }
-        loop.after(FLUSH_MICROS, loop::stop);
+        loop.after(FLUSH_DELAY_MICROS, loop::stop);
     }
 }
--- a/src/main/java/waytrestle/platform/PlatformController.java
+++ b/src/main/java/waytrestle/platform/PlatformController.java
@@ -131,9 +131,9 @@
 
     /** The watch server and the peers may have moved; all other settings need a restart. */
     private void applyConfiguration(PlatformConfig config) {
-        components.watchClient().addressChanged(config.board());
+        components.watchClient().addressChanged(config.watchServerAddress());
         if (components.gossip() != null) {
-            components.gossip().updatePeers(config.peers(), config.peersAll());
+            components.gossip().updatePeers(config.peerAddresses(), config.allPeersAddress());
         }
     }
 }
--- a/src/main/java/waytrestle/platform/PlatformEnvironment.java
+++ b/src/main/java/waytrestle/platform/PlatformEnvironment.java
@@ -19,12 +19,12 @@
     }
 
     /** Sets the socket for gossip, before the event loop starts; null sends none. */
-    void attachGossip(GossipSocket socket) {
+    void attachGossipSocket(GossipSocket socket) {
         gossip = socket;
     }
 
     /** Sets who follows the endpoints, before the event loop starts. */
-    void attachWatch(WatchClient client) {
+    void attachWatchClient(WatchClient client) {
         watchClient = client;
     }
 
--- a/src/main/java/waytrestle/platform/PlatformInvokerClient.java
+++ b/src/main/java/waytrestle/platform/PlatformInvokerClient.java
@@ -38,14 +38,14 @@
             long timeoutMicros,
             AttemptListener listener) {
         ByteBuffer[] message =
-                protocol.attempt(
+                protocol.attemptMessage(
                         settings.classes().get(request.requestClass()).name(),
                         id,
                         request.function(),
                         timeoutMicros,
                         request.payload());
         HttpClient.Call exchange =
-                exchange(
+                startExchange(
                         timeoutMicros,
                         listener,
                         response -> listener.completed(attemptResult(response)),
@@ -55,9 +55,11 @@
     }
 
     private AttemptResult attemptResult(HttpMessage response) {
-        ExchangeResult result = PlatformInvokerProtocol.result(response);
+        ExchangeResult result = PlatformInvokerProtocol.exchangeResult(response);
         Served served =
-                result.kind() == Kind.RESPONSE ? PlatformInvokerProtocol.served(response) : null;
+                result.kind() == Kind.RESPONSE
+                        ? PlatformInvokerProtocol.functionResponse(response)
+                        : null;
         return new AttemptResult(
                 result, served, "", response.content(), protocol.loadMetrics(response));
     }
@@ -65,27 +67,30 @@
     @Override
     public void preload(
             String function, int instances, long timeoutMicros, OperationListener listener) {
-        sendOperation(timeoutMicros, protocol.preload(function, instances), listener);
+        sendOperation(timeoutMicros, protocol.preloadMessage(function, instances), listener);
     }
 
     @Override
     public void unload(String function, long timeoutMicros) {
-        sendOperation(timeoutMicros, protocol.unload(function), (result, instances, metrics) -> {});
+        sendOperation(
+                timeoutMicros,
+                protocol.unloadMessage(function),
+                (result, instances, metrics) -> {});
     }
 
     @Override
     public void checkHealth(long timeoutMicros, OperationListener listener) {
         boolean withLoadReport = settings.loadReports() == LoadReportSource.HEALTH_CHECKS;
-        sendOperation(timeoutMicros, protocol.healthCheck(withLoadReport), listener);
+        sendOperation(timeoutMicros, protocol.healthCheckMessage(withLoadReport), listener);
     }
 
     private void sendOperation(long timeoutMicros, ByteBuffer request, OperationListener listener) {
-        exchange(
+        startExchange(
                 timeoutMicros,
                 listener,
                 response ->
                         listener.completed(
-                                PlatformInvokerProtocol.result(response),
+                                PlatformInvokerProtocol.exchangeResult(response),
                                 PlatformInvokerProtocol.loadedInstances(response),
                                 protocol.loadMetrics(response)),
                 failure -> listener.completed(ExchangeResult.of(failure), 0, LoadMetrics.NONE),
--- a/src/main/java/waytrestle/platform/PlatformLog.java
+++ b/src/main/java/waytrestle/platform/PlatformLog.java
@@ -73,16 +73,16 @@
                         .with("event", event)
                         .with("error", cause)
                         .toString());
-        stackTrace(cause);
+        logStackTrace(cause);
     }
 
     /** Logs what a handler of the event loop has thrown. */
     void handlerFailed(Throwable cause) {
         logMessage(new LogLine("handler.failed").with("error", cause).toString());
-        stackTrace(cause);
+        logStackTrace(cause);
     }
 
-    private void stackTrace(Throwable cause) {
+    private void logStackTrace(Throwable cause) {
         for (StackTraceElement frame : cause.getStackTrace()) {
             logMessage(frameLine(frame));
         }
@@ -196,7 +196,7 @@
      *
      * @param discovery how often and for how long service discovery was out of reach
      */
-    void summary(
+    void logSummary(
             Map<SendGuard.Refusal, Long> refusedSends,
             Map<String, Long> systemFaults,
             String discovery) {
--- a/src/main/java/waytrestle/platform/PlatformProcess.java
+++ b/src/main/java/waytrestle/platform/PlatformProcess.java
@@ -59,7 +59,7 @@
         try {
             PlatformConfig config = PlatformConfig.read(file);
             return PlatformController.start(config, System::currentTimeMillis, System.err);
-        } catch (PlatformConfig.Wrong | IOException e) {
+        } catch (PlatformConfig.InvalidConfigException | IOException e) {
             exitWith("waytrestle: " + e.getMessage());
             throw new IllegalStateException("the process has exited", e);
         }
--- a/src/main/java/waytrestle/platform/PlatformTransport.java
+++ b/src/main/java/waytrestle/platform/PlatformTransport.java
@@ -38,26 +38,26 @@
      * Time without a byte within a response: responses are small and sent at once. Guards against
      * an invoker that stops within a response and holds its request until the deadline.
      */
-    private static final long RESPONSE_STALL_MICROS = 250_000;
+    private static final long RESPONSE_STALL_TIMEOUT_MICROS = 250_000;
 
     /**
      * Time from a response to the next request on its connection. Guards against a duplicate
      * response, which comes milliseconds late: it names no request and would be taken for the
      * answer to the next one.
      */
-    private static final long CONNECTION_REST_MICROS = 20_000;
+    private static final long REUSE_DELAY_MICROS = 20_000;
 
     /** Part of the time after which invokers close idle connections: they must not close first. */
     private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
     /** Idle time where the settings give none: below the usual five seconds of invokers. */
-    private static final long DEFAULT_IDLE_MICROS = 4_000_000;
+    private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 4_000_000;
 
     private final SchedulerSettings settings;
     private final InvokerAddresses addresses;
     private final ConnectionLimit connectionLimit;
     private final FairByteLimit responseBuffer = new FairByteLimit(MAX_BUFFERED_RESPONSE_BYTES);
-    private final long idleMicros;
+    private final long idleTimeoutMicros;
 
     /** Invokers close idle connections after the given time, 0 where that is not reported. */
     PlatformTransport(
@@ -70,10 +70,10 @@
         this.settings = settings;
         this.addresses = addresses;
         this.connectionLimit = new ConnectionLimit(maxConnections);
-        this.idleMicros =
+        this.idleTimeoutMicros =
                 invokerIdleMicros > 0
                         ? (long) (IDLE_TIMEOUT_SHARE * invokerIdleMicros)
-                        : DEFAULT_IDLE_MICROS;
+                        : DEFAULT_IDLE_TIMEOUT_MICROS;
     }
 
     @Override
@@ -93,10 +93,10 @@
                         RESPONSE_LIMITS,
                         Integer.MAX_VALUE,
                         settings.limits().connectTimeoutMicros(),
-                        idleMicros,
+                        idleTimeoutMicros,
                         responseBuffer)
                 .withConnectionLimit(connectionLimit)
-                .withResponseStallMicros(RESPONSE_STALL_MICROS)
-                .withReuseDelayMicros(CONNECTION_REST_MICROS);
+                .withResponseStallMicros(RESPONSE_STALL_TIMEOUT_MICROS)
+                .withReuseDelayMicros(REUSE_DELAY_MICROS);
     }
 }
--- a/src/main/java/waytrestle/platform/ProcessStartTimes.java
+++ b/src/main/java/waytrestle/platform/ProcessStartTimes.java
@@ -17,7 +17,7 @@
  */
 final class ProcessStartTimes {
     /** Start of an invoker of which none is reported, or that started long ago. */
-    private static final long NOT_REPORTED = 0;
+    private static final long UNKNOWN_START_MICROS = 0;
 
     /** A reported start, and the same moment on the monotonic clock. */
     private record ProcessStart(long unixMillis, long loopMicros) {}
@@ -32,7 +32,7 @@
     /** Converts a start as reported in Unix milliseconds; 0 or less is not reported and gives 0. */
     long startedAtMicros(String invoker, long unixMillis) {
         if (unixMillis <= 0) {
-            return NOT_REPORTED;
+            return UNKNOWN_START_MICROS;
         }
         ProcessStart known = byInvoker.get(invoker);
         if (known == null || known.unixMillis() != unixMillis) {
--- a/src/main/java/waytrestle/platform/StartRetry.java
+++ b/src/main/java/waytrestle/platform/StartRetry.java
@@ -11,12 +11,12 @@
  */
 final class StartRetry {
     /** Far above a moment's lack, far below the time in which a controller has to be ready. */
-    private static final long PATIENCE_NANOS = 3_000_000_000L;
+    private static final long RETRY_TIMEOUT_NANOS = 3_000_000_000L;
 
-    private static final long PAUSE_MILLIS = 20;
+    private static final long RETRY_DELAY_MILLIS = 20;
 
     /** Opens something. */
-    interface Opening<T> {
+    interface ResourceOpener<T> {
         T open() throws IOException;
     }
 
@@ -32,13 +32,13 @@
      * @param what names it in the log
      * @throws IOException of the last attempt, when it cannot be opened for as long as the patience
      */
-    <T> T open(String what, Opening<T> opening) throws IOException {
+    <T> T open(String what, ResourceOpener<T> opening) throws IOException {
         long begin = System.nanoTime();
         while (true) {
             try {
                 return opening.open();
             } catch (IOException e) {
-                if (System.nanoTime() - begin > PATIENCE_NANOS) {
+                if (System.nanoTime() - begin > RETRY_TIMEOUT_NANOS) {
                     throw e;
                 }
                 log.logMessage(
@@ -53,7 +53,7 @@
 
     private static void pause() throws IOException {
         try {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
--- a/src/main/java/waytrestle/platform/TableSizes.java
+++ b/src/main/java/waytrestle/platform/TableSizes.java
@@ -3,8 +3,8 @@
 /**
  * Number of entries of each table that grows with requests, clients or invokers.
  *
- * @param requests entries that the controller retains for requests
- * @param requestIds correlation ids of requests in flight at the front end
+ * @param requestEntries entries that the controller retains for requests
+ * @param requestsInFlight correlation ids of requests in flight at the front end
  * @param addresses invokers whose address is known
  * @param startTimes invokers whose process start is known
  * @param invokerClients invokers that have a client
@@ -12,8 +12,8 @@
  * @param timers timers of the event loop
  */
 record TableSizes(
-        int requests,
-        int requestIds,
+        int requestEntries,
+        int requestsInFlight,
         int addresses,
         int startTimes,
         int invokerClients,
--- a/src/main/java/waytrestle/play/Cast.java
+++ b/src/main/java/waytrestle/play/Cast.java
@@ -56,7 +56,7 @@
                 .append(rosterPort)
                 .append("\"\ndiscovery = \"pushed\"\nwait_ms = 5000\n\n");
         out.append(scenario.gateway()).append('\n');
-        List<String> classNames = TomlFile.names(scenario.gateway(), "class");
+        List<String> classNames = TomlFile.tableNames(scenario.gateway(), "class");
         for (String each : classNames) {
             out.append("[[endpoint]]\npath = \"/hooks/")
                     .append(each)
@@ -151,8 +151,8 @@
 
     public static InvokerModel.Shape shape(
             Scenario scenario, Scenario.Fleet f, GatewayConfig config) {
-        SchedulerSettings s = config.module();
-        int kind = Math.max(0, config.kinds().indexOf(f.kind()));
+        SchedulerSettings s = config.schedulerSettings();
+        int kind = Math.max(0, config.invokerKinds().indexOf(f.kind()));
         return new InvokerModel.Shape(
                 f.cores(),
                 f.room(),
--- a/src/main/java/waytrestle/play/Play.java
+++ b/src/main/java/waytrestle/play/Play.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
 import waytrestle.net.Loop;
 import waytrestle.scheduler.SchedulerSettings;
@@ -99,7 +99,7 @@
     }
 
     /** Plays the whole day; throws what broke in the stand-ins themselves. */
-    public void run() throws IOException, InterruptedException, ConfigError {
+    public void run() throws IOException, InterruptedException, ConfigException {
         try {
             List<Integer> ports = ports(2 * scenario.controllers());
             RosterStandIn made = new RosterStandIn(fleetLoop, 0, evidence);
@@ -147,7 +147,7 @@
     private void finish() throws InterruptedException {
         clientLoop.execute(clients::stop);
         long most =
-                config.module().classes().stream()
+                config.schedulerSettings().classes().stream()
                                 .mapToLong(c -> c.deadlineMicros())
                                 .max()
                                 .orElse(0)
@@ -225,7 +225,7 @@
     }
 
     private void fleet() throws IOException {
-        SchedulerSettings s = config.module();
+        SchedulerSettings s = config.schedulerSettings();
         targets.addAll(Cast.targets(scenario, s, functions, weights));
         store = new StoreModel(env, scenario.store().atOnce(), scenario.store().refuseOver());
         for (Scenario.Fleet f : scenario.fleets()) {
@@ -260,11 +260,11 @@
                 new Clients(
                         new LoopEnv(clientLoop),
                         evidence,
-                        config.module().classes(),
+                        config.schedulerSettings().classes(),
                         scenario.load(),
                         targets,
                         weights.stream().mapToDouble(w -> w).toArray(),
-                        new HttpWay(clientLoop, at, config.module().classes()),
+                        new HttpWay(clientLoop, at, config.schedulerSettings().classes()),
                         scenario.seed());
     }
 
--- a/src/main/java/waytrestle/play/Scenario.java
+++ b/src/main/java/waytrestle/play/Scenario.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.Section;
 import waytrestle.config.TomlFile;
 
@@ -91,98 +91,98 @@
      */
     public record Trouble(Kind kind, long atMicros, long forMicros, double share, double factor) {}
 
-    public static Scenario read(Path file) throws ConfigError {
+    public static Scenario read(Path file) throws ConfigException {
         return TomlFile.read(file, Scenario::from);
     }
 
     public static Scenario from(Section root) {
-        Section play = root.sub("play");
-        long length = play.millis("seconds", 0.1, 3_600) * 1_000;
-        String gateway = root.raw("gateway");
-        List<String> kinds = TomlFile.names(gateway, "kind");
-        List<String> classes = TomlFile.names(gateway, "class");
+        Section play = root.subsection("play");
+        long length = play.microsFromMillis("seconds", 0.1, 3_600) * 1_000;
+        String gateway = root.toToml("gateway");
+        List<String> kinds = TomlFile.tableNames(gateway, "kind");
+        List<String> classes = TomlFile.tableNames(gateway, "class");
         if (gateway.isEmpty()) {
-            root.fault(
+            root.addError(
                     "gateway", "is missing: a table with the settings that all controllers share");
         } else if (kinds.isEmpty() || classes.isEmpty()) {
-            root.fault(
+            root.addError(
                     "gateway",
                     "at least one [[gateway.kind]] and one [[gateway.class]] are needed");
         }
         List<Fleet> fleets = new ArrayList<>();
-        for (Section f : root.each("fleet")) {
+        for (Section f : root.subsections("fleet")) {
             fleets.add(
                     new Fleet(
                             named(f, "kind", kinds),
                             f.text("zone"),
-                            (int) f.whole("cell", 0, 1_000, 0),
-                            (int) f.whole("count", 1, 500),
-                            (int) f.whole("cores", 1, 1_000),
-                            (int) f.whole("room", 1, 100_000),
-                            (int) f.whole("loads_at_once", 1, 1_000, 4),
+                            (int) f.integer("cell", 0, 1_000, 0),
+                            (int) f.integer("count", 1, 500),
+                            (int) f.integer("cores", 1, 1_000),
+                            (int) f.integer("room", 1, 100_000),
+                            (int) f.integer("loads_at_once", 1, 1_000, 4),
                             f.flag("cancel_stops", true),
-                            f.millis("report_every_ms", 0, 60_000, 200)));
+                            f.microsFromMillis("report_every_ms", 0, 60_000, 200)));
         }
         if (fleets.isEmpty()) {
-            root.fault("fleet", "at least one [[fleet]] is needed");
+            root.addError("fleet", "at least one [[fleet]] is needed");
         }
-        Section s = root.sub("store");
+        Section s = root.subsection("store");
         Store store =
                 new Store(
-                        (int) s.whole("fetches_at_once", 1, 100_000),
-                        (int) s.whole("refuse_over", 1, 1_000_000),
+                        (int) s.integer("fetches_at_once", 1, 100_000),
+                        (int) s.integer("refuse_over", 1, 1_000_000),
                         s.number("fetch_share", 0, 1));
         List<Functions> functions = new ArrayList<>();
-        for (Section f : root.each("functions")) {
+        for (Section f : root.subsections("functions")) {
             functions.add(
                     new Functions(
                             f.text("name"),
-                            (int) f.whole("count", 1, 100_000),
+                            (int) f.integer("count", 1, 100_000),
                             named(f, "class", classes),
                             f.number("memory_mb", 0, 1e9),
-                            (int) f.whole("lanes", 1, 10_000),
-                            f.millis("load_ms", 0, 600_000),
+                            (int) f.integer("lanes", 1, 10_000),
+                            f.microsFromMillis("load_ms", 0, 600_000),
                             f.number("work_ms", 0, 600_000),
                             f.number("share", 0, 1e6),
                             f.number("zipf", 0, 10, 1)));
         }
         if (functions.isEmpty()) {
-            root.fault("functions", "at least one [[functions]] is needed");
+            root.addError("functions", "at least one [[functions]] is needed");
         }
-        Section l = root.sub("load");
+        Section l = root.subsection("load");
         Load load =
                 new Load(
                         l.number("rate_per_s", 0.01, 100_000),
                         l.number("retry_share", 0, 1, 0),
-                        l.millis("retry_after_ms", 0, 600_000, 200),
+                        l.microsFromMillis("retry_after_ms", 0, 600_000, 200),
                         l.number("leave_share", 0, 1, 0),
                         l.number("kserve_share", 0, 1, 0));
         List<Trouble> troubles = new ArrayList<>();
-        for (Section t : root.each("trouble")) {
+        for (Section t : root.subsections("trouble")) {
             troubles.add(
                     new Trouble(
                             t.choice("kind", Kind.class),
-                            t.millis("at_s", 0, 3_600) * 1_000,
-                            t.millis("for_s", 0, 3_600, 0) * 1_000,
+                            t.microsFromMillis("at_s", 0, 3_600) * 1_000,
+                            t.microsFromMillis("for_s", 0, 3_600, 0) * 1_000,
                             t.number("share", 0, 1, 1),
                             t.number("factor", -1e6, 1e6, 1)));
         }
         return new Scenario(
                 length,
-                play.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE),
-                (int) play.whole("controllers", 1, 2_000),
+                play.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE),
+                (int) play.integer("controllers", 1, 2_000),
                 gateway,
                 fleets,
                 store,
                 functions,
                 load,
-                root.sub("roster").millis("lag_ms", 0, 600_000, 0),
+                root.subsection("roster").microsFromMillis("lag_ms", 0, 600_000, 0),
                 troubles);
     }
 
     /** A name that the gateway's settings give. */
     private static String named(Section s, String key, List<String> names) {
-        return names.isEmpty() ? s.text(key) : names.get(s.among(key, names, "gateway." + key));
+        return names.isEmpty() ? s.text(key) : names.get(s.indexIn(key, names, "gateway." + key));
     }
 
     /** The same day with another seed. */
--- a/src/main/java/waytrestle/requests/PendingRequests.java
+++ b/src/main/java/waytrestle/requests/PendingRequests.java
@@ -76,8 +76,8 @@
     /**
      * An attempt ended.
      *
-     * @param outcome the function's response, or its own {@link FunctionError} (the outcome of the
-     *     request if no later attempt is served); null if the function returned neither
+     * @param outcome the function's response, or its own {@link FunctionErrorBody} (the outcome of
+     *     the request if no later attempt is served); null if the function returned neither
      * @param endsRequest whether the request ends with the attempt
      * @param responseText HTTP status of the response, or a word in place of one
      */
--- a/src/test/java/waytrestle/audit/AuditTest.java
+++ b/src/test/java/waytrestle/audit/AuditTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import waytrestle.audit.Audit.Rule;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
 import waytrestle.config.TomlFile;
 import waytrestle.controller.Controller;
@@ -102,7 +102,7 @@
                             Gateway gateway;
                             try {
                                 gateway = Gateway.start(GatewayConfig.read(config), maker);
-                            } catch (ConfigError e) {
+                            } catch (ConfigException e) {
                                 throw new IOException(e);
                             }
                             return new Play.Running() {
@@ -126,7 +126,7 @@
                 .run();
         return Audit.of(
                 dir.resolve(Evidence.FILE),
-                GatewayConfig.read(dir.resolve("gateway-0.toml")).module(),
+                GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings(),
                 STALLS);
     }
 
@@ -203,18 +203,24 @@
         Files.write(more, lines);
         onlyBroken(
                 Rule.ONE_ANSWER,
-                Audit.of(more, GatewayConfig.read(dir.resolve("gateway-0.toml")).module()));
+                Audit.of(
+                        more,
+                        GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings()));
         lines.remove(answer);
         Files.write(more, lines);
         onlyBroken(
                 Rule.ONE_ANSWER,
-                Audit.of(more, GatewayConfig.read(dir.resolve("gateway-0.toml")).module()));
+                Audit.of(
+                        more,
+                        GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings()));
         lines.add(answer);
         lines.add(answer);
         Files.write(more, lines);
         onlyBroken(
                 Rule.ONE_ANSWER,
-                Audit.of(more, GatewayConfig.read(dir.resolve("gateway-0.toml")).module()));
+                Audit.of(
+                        more,
+                        GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings()));
     }
 
     /** An unsafe call whose answer is slow is simply sent to another invoker too. */
@@ -374,7 +380,7 @@
                                 Audit.of(
                                         bad,
                                         GatewayConfig.read(Path.of("deploy/gateway.example.toml"))
-                                                .module()));
+                                                .schedulerSettings()));
         assertTrue(e.getMessage().contains("bad.jsonl:2: not a sighting"), e.getMessage());
     }
 }
--- a/src/test/java/waytrestle/audit/EarlierEvidenceTest.java
+++ b/src/test/java/waytrestle/audit/EarlierEvidenceTest.java
@@ -17,7 +17,8 @@
     @Test
     void evidenceAndConfigurationOfAnEarlierVersionAreJudgedAsTheyWereThen() throws Exception {
         GatewayConfig config = GatewayConfig.read(EARLIER.resolve("gateway-0.toml"));
-        Audit.Verdict verdict = Audit.of(EARLIER.resolve(Evidence.FILE), config.module());
+        Audit.Verdict verdict =
+                Audit.of(EARLIER.resolve(Evidence.FILE), config.schedulerSettings());
         assertEquals(Files.readString(EARLIER.resolve("verdict.txt")), verdict.text());
         assertTrue(verdict.kept());
     }
--- a/src/test/java/waytrestle/config/ConfigTest.java
+++ b/src/test/java/waytrestle/config/ConfigTest.java
@@ -23,9 +23,9 @@
 
     private static List<String> faults(String text) {
         return assertThrows(
-                        ConfigError.class,
+                        ConfigException.class,
                         () -> TomlFile.parse(text, "g.toml", GatewayConfig::from))
-                .faults();
+                .errors();
     }
 
     private static String example() throws Exception {
@@ -44,14 +44,16 @@
     @Test
     void theAnnotatedExampleLoads() throws Exception {
         GatewayConfig c = GatewayConfig.read(EXAMPLE);
-        assertEquals(3, c.module().classes().size());
-        assertEquals(Idempotency.KEYED, c.module().classes().get(1).idempotency());
-        assertEquals(DeduplicationScope.CELL, c.module().classes().get(1).deduplicationScope());
-        assertEquals(8_000_000, c.module().classes().get(1).deduplicationWindowMicros());
-        assertEquals(500_000, c.module().rules().drainGraceMicros());
-        assertEquals(8080, c.listen().getPort());
+        assertEquals(3, c.schedulerSettings().classes().size());
+        assertEquals(Idempotency.KEYED, c.schedulerSettings().classes().get(1).idempotency());
+        assertEquals(
+                DeduplicationScope.CELL,
+                c.schedulerSettings().classes().get(1).deduplicationScope());
+        assertEquals(8_000_000, c.schedulerSettings().classes().get(1).deduplicationWindowMicros());
+        assertEquals(500_000, c.schedulerSettings().rules().drainGraceMicros());
+        assertEquals(8080, c.listenAddress().getPort());
         assertEquals(1_400_000, c.functions().get("charge").loadMicros());
-        assertEquals("/data/function", c.endpoints().get(0).pointer());
+        assertEquals("/data/function", c.webhookEndpoints().get(0).functionPointer());
     }
 
     @Test
@@ -75,15 +77,15 @@
             }
         }
         GatewayConfig left = TomlFile.parse(without.toString(), "g.toml", GatewayConfig::from);
-        assertEquals(given.http(), left.http());
-        assertEquals(given.ids(), left.ids());
-        assertEquals(given.invokers(), left.invokers());
-        assertEquals(given.roster(), left.roster());
-        assertEquals(given.stopGraceMicros(), left.stopGraceMicros());
-        assertEquals(given.faults(), left.faults());
-        assertEquals(given.edge(), left.edge());
+        assertEquals(given.httpLimits(), left.httpLimits());
+        assertEquals(given.idempotencyBounds(), left.idempotencyBounds());
+        assertEquals(given.invokerConnections(), left.invokerConnections());
+        assertEquals(given.discovery(), left.discovery());
+        assertEquals(given.shutdownGraceMicros(), left.shutdownGraceMicros());
+        assertEquals(given.failureLimit(), left.failureLimit());
+        assertEquals(given.connectionLimits(), left.connectionLimits());
         assertEquals(given.overload(), left.overload());
-        assertEquals(given.bounds(), left.bounds());
+        assertEquals(given.tenantLimits(), left.tenantLimits());
         assertEquals(given.maxConnections(), left.maxConnections());
     }
 
@@ -134,9 +136,9 @@
         List<String> all = faults(example().replace("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", bad));
         assertTrue(all.get(0).contains("must hold 24 to 64 bytes, not 5"), all.get(0));
         assertFalse(all.toString().contains(bad));
-        assertTrue(SecretForm.wrong("whpk_AAAA").contains("32 bytes"));
-        assertTrue(SecretForm.wrong("secret").contains("must begin with"));
-        assertTrue(SecretForm.wrong("whsec_*").contains("base64"));
+        assertTrue(SecretFormat.describeError("whpk_AAAA").contains("32 bytes"));
+        assertTrue(SecretFormat.describeError("secret").contains("must begin with"));
+        assertTrue(SecretFormat.describeError("whsec_*").contains("base64"));
     }
 
     @Test
@@ -175,22 +177,26 @@
                 faults(example().replace("sha256 = \"8f", "sha256 = \"XX"))
                         .get(0)
                         .contains("kserve.key[0].sha256: must be the SHA-256"));
-        Networks set = new Networks(List.of("10.1.0.0/16", "2001:db8::/32", "192.0.2.7"));
+        NetworkSet set = new NetworkSet(List.of("10.1.0.0/16", "2001:db8::/32", "192.0.2.7"));
         for (String in : new String[] {"10.1.2.3", "2001:db8::5", "192.0.2.7", "::ffff:10.1.9.9"}) {
             assertTrue(set.contains(InetAddress.getByName(in)), in);
         }
         for (String out : new String[] {"10.2.0.1", "2001:db9::1", "192.0.2.8"}) {
             assertFalse(set.contains(InetAddress.getByName(out)), out);
         }
-        assertEquals("10.1.2.0/24", Networks.network(InetAddress.getByName("10.1.2.3"), 24, 64));
         assertEquals(
-                "2001:db8::/64", Networks.network(InetAddress.getByName("2001:db8::5"), 24, 64));
+                "10.1.2.0/24", NetworkSet.networkOf(InetAddress.getByName("10.1.2.3"), 24, 64));
+        assertEquals(
+                "2001:db8::/64",
+                NetworkSet.networkOf(InetAddress.getByName("2001:db8::5"), 24, 64));
     }
 
     @Test
     void addressesAreFiguresAlone() {
-        assertEquals("127.0.0.1:80", GatewayConfig.id(GatewayConfig.parse("127.0.0.1:80")));
-        assertEquals(443, GatewayConfig.parse("[::1]:443").getPort());
+        assertEquals(
+                "127.0.0.1:80",
+                GatewayConfig.invokerId(GatewayConfig.parseAddress("127.0.0.1:80")));
+        assertEquals(443, GatewayConfig.parseAddress("[::1]:443").getPort());
         for (String bad :
                 new String[] {
                     "",
@@ -204,7 +210,7 @@
                     "[::1:80",
                     "::1:80"
                 }) {
-            assertNull(GatewayConfig.parse(bad), bad);
+            assertNull(GatewayConfig.parseAddress(bad), bad);
         }
     }
 
@@ -216,7 +222,7 @@
         }
         List<String> all =
                 assertThrows(
-                                ConfigError.class,
+                                ConfigException.class,
                                 () ->
                                         TomlFile.parse(
                                                 "[play]\n"
@@ -228,7 +234,7 @@
                                                         + "at_s = 1\n",
                                                 "s.toml",
                                                 Scenario::from))
-                        .faults();
+                        .errors();
         assertTrue(
                 all.stream()
                         .anyMatch(
--- a/src/test/java/waytrestle/emulator/EmulationTest.java
+++ b/src/test/java/waytrestle/emulator/EmulationTest.java
@@ -37,7 +37,7 @@
         new Emulation(day, out, maker, overload).run(new PrintWriter(Writer.nullWriter()));
         return Audit.of(
                 out.resolve(Evidence.FILE),
-                GatewayConfig.read(out.resolve("gateway-0.toml")).module());
+                GatewayConfig.read(out.resolve("gateway-0.toml")).schedulerSettings());
     }
 
     private static Scenario badDay() throws Exception {
--- a/src/test/java/waytrestle/front/kserve/InferCheckTest.java
+++ b/src/test/java/waytrestle/front/kserve/InferRequestValidatorTest.java
@@ -16,16 +16,21 @@
 import waytrestle.Bytes;
 
 /** Infer requests: every datatype, both forms, and faults told by their field. */
-class InferCheckTest {
-    private static InferCheck.Checked check(String json, byte... binary) throws InferCheck.Fault {
+class InferRequestValidatorTest {
+    private static InferRequestValidator.ValidatedRequest check(String json, byte... binary)
+            throws InferRequestValidator.InvalidInferRequestException {
         byte[] head = json.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
         byte[] all = Arrays.copyOf(head, head.length + binary.length);
         System.arraycopy(binary, 0, all, head.length, binary.length);
-        return InferCheck.check(Bytes.of(all), head.length);
+        return InferRequestValidator.validate(Bytes.of(all), head.length);
     }
 
     private static String fault(String json, byte... binary) {
-        return assertThrows(InferCheck.Fault.class, () -> check(json, binary), json).getMessage();
+        return assertThrows(
+                        InferRequestValidator.InvalidInferRequestException.class,
+                        () -> check(json, binary),
+                        json)
+                .getMessage();
     }
 
     private static String input(String type, String shape, String rest) {
@@ -88,7 +93,7 @@
 
     @Test
     void jsonAndBinaryInputsMixAndParametersAreRead() throws Exception {
-        InferCheck.Checked c =
+        InferRequestValidator.ValidatedRequest c =
                 check(
                         "{'id':'r7','parameters':{'timeout':250000,'x':{'y':[1]}},'inputs':["
                             + "{'name':'a','datatype':'BYTES','shape':[2],'parameters':{'binary_data_size':9}},"
@@ -223,8 +228,8 @@
 
     private static String end(Bytes body, int json) {
         try {
-            return String.valueOf(InferCheck.check(body, json));
-        } catch (InferCheck.Fault e) {
+            return String.valueOf(InferRequestValidator.validate(body, json));
+        } catch (InferRequestValidator.InvalidInferRequestException e) {
             return e.getMessage();
         }
     }
--- a/src/test/java/waytrestle/front/webhook/SignaturesTest.java
+++ b/src/test/java/waytrestle/front/webhook/SignaturesTest.java
@@ -100,11 +100,11 @@
     @Test
     void theFunctionIsReadAtItsPointer() {
         byte[] body = "{\"a\":{\"b\":[{\"x/y\":\"one\"},7]},\"c\":\"two\"}".getBytes();
-        assertEquals("one", FunctionPointer.at("/a/b/0/x~1y", body));
-        assertEquals("two", FunctionPointer.at("/c", body));
-        assertNull(FunctionPointer.at("/a/b/1", body), "a number is no name");
-        assertNull(FunctionPointer.at("/d", body));
-        assertNull(FunctionPointer.at("/c", "{\"c\":".getBytes()));
-        assertNull(FunctionPointer.at("/c", new byte[0]));
+        assertEquals("one", JsonPointerReader.textAt("/a/b/0/x~1y", body));
+        assertEquals("two", JsonPointerReader.textAt("/c", body));
+        assertNull(JsonPointerReader.textAt("/a/b/1", body), "a number is no name");
+        assertNull(JsonPointerReader.textAt("/d", body));
+        assertNull(JsonPointerReader.textAt("/c", "{\"c\":".getBytes()));
+        assertNull(JsonPointerReader.textAt("/c", new byte[0]));
     }
 }
--- a/src/test/java/waytrestle/fuzz/ParserFuzzTest.java
+++ b/src/test/java/waytrestle/fuzz/ParserFuzzTest.java
@@ -48,14 +48,14 @@
     }
 
     @FuzzTest(maxDuration = "60s")
-    void requestsAreReadAlikeHoweverSplit(byte[] data) {
+    void requestParsingDoesNotDependOnChunkSize(byte[] data) {
         String whole = all(HttpParser.requests(LIMITS), data, Math.max(1, data.length));
         same(whole, all(HttpParser.requests(LIMITS), data, 1));
         same(whole, all(HttpParser.requests(LIMITS), data, 7));
     }
 
     @FuzzTest(maxDuration = "60s")
-    void answersAreReadAlikeHoweverSplitAndNeverBreakTheirReader(byte[] data) {
+    void responseParsingDoesNotDependOnChunkSizeAndReadersRaiseNoUnexpectedException(byte[] data) {
         same(
                 all(HttpParser.responses(LIMITS), data, Math.max(1, data.length)),
                 all(HttpParser.responses(LIMITS), data, 1));
--- a/src/test/java/waytrestle/gateway/FleetTest.java
+++ b/src/test/java/waytrestle/gateway/FleetTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import waytrestle.access.AccessLine;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.GatewayConfig;
 import waytrestle.config.TomlFile;
 import waytrestle.scheduler.FinishTimeScheduler;
@@ -445,10 +445,10 @@
                 },
                 "the old secret's end");
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r--r--"));
-        ConfigError wrong =
+        ConfigException wrong =
                 Assertions.assertThrows(
-                        ConfigError.class,
+                        ConfigException.class,
                         () -> TomlFile.parse(text, "x.toml", GatewayConfig::from));
-        assertTrue(wrong.faults().get(0).contains("chmod 600"), wrong.faults().toString());
+        assertTrue(wrong.errors().get(0).contains("chmod 600"), wrong.errors().toString());
     }
 }
--- a/src/test/java/waytrestle/hunt/HuntTest.java
+++ b/src/test/java/waytrestle/hunt/HuntTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.TomlFile;
 import waytrestle.controller.Controller;
 import waytrestle.play.Scenario;
@@ -50,8 +50,8 @@
                                                     .play(Scenario.read(each));
                                     assertEquals(List.of(), r.faults(), each.toString());
                                     assertTrue(r.calls() > 10, each.toString());
-                                } catch (ConfigError e) {
-                                    throw new AssertionError(each + ": " + e.faults(), e);
+                                } catch (ConfigException e) {
+                                    throw new AssertionError(each + ": " + e.errors(), e);
                                 }
                             });
         }
@@ -294,18 +294,18 @@
                                 "kind = \"odd\"\nzone = \"north\""),
                         "fleet[0].kind");
         for (Map.Entry<String, String> each : wrong.entrySet()) {
-            ConfigError e =
+            ConfigException e =
                     assertThrows(
-                            ConfigError.class,
+                            ConfigException.class,
                             () -> TomlFile.parse(each.getKey(), "day.toml", Scenario::from),
                             each.getValue());
             assertTrue(
-                    e.faults().stream()
+                    e.errors().stream()
                             .anyMatch(
                                     f ->
                                             f.matches("day\\.toml:\\d+: .*")
                                                     && f.contains(each.getValue())),
-                    e.faults().toString());
+                    e.errors().toString());
         }
     }
 }
--- a/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
+++ b/src/test/java/waytrestle/invoker/platform/PlatformResponseClassifierTest.java
@@ -26,7 +26,8 @@
 
     private ResponseCode codeOf(String head) {
         HttpMessage response = parseResponse("HTTP/1.1 " + head + "\r\n\r\n");
-        return classifier.codeOfPreloadOrHealthCheck(PlatformInvokerProtocol.result(response));
+        return classifier.codeOfPreloadOrHealthCheck(
+                PlatformInvokerProtocol.exchangeResult(response));
     }
 
     @Test
--- a/src/test/java/waytrestle/load/LoadTest.java
+++ b/src/test/java/waytrestle/load/LoadTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import waytrestle.config.ConfigError;
+import waytrestle.config.ConfigException;
 import waytrestle.config.TomlFile;
 import waytrestle.http.HttpLimits;
 import waytrestle.http.HttpServer;
@@ -27,12 +27,12 @@
         String bad =
                 Files.readString(Path.of("deploy/load.example.toml"))
                         .replace("127.0.0.1:8080", "192.0.2.1:8080");
-        ConfigError e =
+        ConfigException e =
                 assertThrows(
-                        ConfigError.class, () -> TomlFile.parse(bad, "l.toml", LoadPlan::from));
+                        ConfigException.class, () -> TomlFile.parse(bad, "l.toml", LoadPlan::from));
         assertTrue(
-                e.faults().get(0).contains("stream[0].at: must hold loopback address:port"),
-                e.faults().toString());
+                e.errors().get(0).contains("stream[0].at: must hold loopback address:port"),
+                e.errors().toString());
     }
 
     /**
--- a/src/test/java/waytrestle/platform/PlatformControllerTest.java
+++ b/src/test/java/waytrestle/platform/PlatformControllerTest.java
@@ -156,7 +156,7 @@
     private int requestsInFlight() throws Exception {
         CompletableFuture<TableSizes> sizes = new CompletableFuture<>();
         fixture.controller().tableSizes(sizes::complete);
-        return sizes.get(10, TimeUnit.SECONDS).requestIds();
+        return sizes.get(10, TimeUnit.SECONDS).requestsInFlight();
     }
 
     @Test
@@ -336,16 +336,16 @@
             assertTrue(valid.contains(original), original);
             Files.writeString(
                     fixture.configurationFile, valid.replace(original, replacements[i][1]));
-            PlatformConfig.Wrong error =
+            PlatformConfig.InvalidConfigException error =
                     assertThrows(
-                            PlatformConfig.Wrong.class,
+                            PlatformConfig.InvalidConfigException.class,
                             () -> PlatformConfig.read(fixture.configurationFile));
             String message = error.getMessage();
             assertTrue(message.startsWith(fixture.configurationFile + ": "), message);
             assertTrue(message.contains(namedFields[i]), message);
         }
         Files.writeString(fixture.configurationFile, valid);
-        assertFalse(PlatformConfig.read(fixture.configurationFile).known().isEmpty());
+        assertFalse(PlatformConfig.read(fixture.configurationFile).knownEvents().isEmpty());
     }
 
     @Test
@@ -359,7 +359,7 @@
             }
         }
         TableSizes last = tableSizes();
-        assertEquals(early.requestIds(), last.requestIds(), "request ids");
+        assertEquals(early.requestsInFlight(), last.requestsInFlight(), "request ids");
         assertEquals(early.addresses(), last.addresses(), "addresses");
         assertEquals(early.startTimes(), last.startTimes(), "start times");
         assertEquals(early.invokerClients(), last.invokerClients(), "invoker clients");
@@ -392,7 +392,9 @@
     }
 
     private static boolean onlyConfiguredInvokerRemains(TableSizes sizes) {
-        return sizes.addresses() == 1 && sizes.clientConnections() == 0 && sizes.requests() == 0;
+        return sizes.addresses() == 1
+                && sizes.clientConnections() == 0
+                && sizes.requestEntries() == 0;
     }
 
     private TableSizes tableSizes() throws Exception {
--- a/src/test/java/waytrestle/play/PlayTest.java
+++ b/src/test/java/waytrestle/play/PlayTest.java
@@ -22,7 +22,7 @@
         Audit.Verdict v =
                 Audit.of(
                         dir.resolve(Evidence.FILE),
-                        GatewayConfig.read(dir.resolve("gateway-0.toml")).module(),
+                        GatewayConfig.read(dir.resolve("gateway-0.toml")).schedulerSettings(),
                         AuditTest.STALLS);
         assertTrue(v.kept(), v.text());
         assertTrue(v.calls() > 2_000, v.text());
