--- a/src/main/java/waytrestle/config/SecretFormat.java
+++ b/src/main/java/waytrestle/config/SecretFormat.java
@@ -7,11 +7,17 @@
  * base64.
  */
 public final class SecretFormat {
-    /** The prefixes of a shared HMAC-SHA256 secret and of an Ed25519 public key. */
-    public static final String HMAC_PREFIX = "whsec_", ED25519_PREFIX = "whpk_";
+    /** The prefix of a shared HMAC-SHA256 secret. */
+    public static final String HMAC_PREFIX = "whsec_";
 
-    /** Allowed length of an HMAC secret, set by the Standard Webhooks specification. */
-    private static final int MIN_HMAC_BYTES = 24, MAX_HMAC_BYTES = 64;
+    /** The prefix of an Ed25519 public key. */
+    public static final String ED25519_PREFIX = "whpk_";
+
+    /** Minimum length of an HMAC secret, set by the Standard Webhooks specification. */
+    private static final int MIN_HMAC_BYTES = 24;
+
+    /** Maximum length of an HMAC secret, set by the Standard Webhooks specification. */
+    private static final int MAX_HMAC_BYTES = 64;
 
     private static final int ED25519_PUBLIC_KEY_BYTES = 32;
 
