--- a/src/test/java/waytrestle/gateway/MisbehavingInvokerTest.java
+++ b/src/test/java/waytrestle/gateway/MisbehavingInvokerTest.java
@@ -471,7 +471,7 @@
                         .replace(
                                 "secrets = [\""
                                         + GatewayFixture.WEBHOOK_SECRET
-                                        + "\"]  # several while one is changed; whpk_ for Ed25519",
+                                        + "\"]  # several during a key rotation; whpk_ for Ed25519",
                                 "secrets_file = \"" + secretsFile + "\"");
         fixture.start(text, FinishTimeScheduler::new);
         assertEquals(200, sendAndWait("seat-check", "f").statusCode());
